--- a/src/platform/descriptor_shares.hpp
+++ b/src/platform/descriptor_shares.hpp
@@ -1,4 +1,4 @@
-// How the descriptors of the process are shared between nodes and clients. Pure.
+// How the descriptors of the process are divided between connections to nodes and clients' connections. Pure.
 #pragma once
 
 #include <algorithm>
@@ -6,18 +6,22 @@
 
 namespace topazweir::platform {
 
+// Connection limits of the two sides.
 struct DescriptorShares {
-  std::size_t nodes = 0, clients = 0;  // connections
+  std::size_t nodes = 0;
+  std::size_t clients = 0;
 
-  // A quarter is kept for each side, and a few for the listeners, discovery, signals and files. What is left
-  // is the nodes' as far as they are many: two connections each, one that is in use and one that takes its
-  // place. Guards a large fleet: queries that touch all shards need most nodes, while clients are few for
-  // each of many aggregators.
-  // `setApart`: further descriptors that neither may take, for operators' calls.
+  // Divides `sockets` descriptors. Each side is guaranteed a quarter; 32 are kept free for the listeners,
+  // discovery, signals and files. Of the rest, nodes get what they need: two connections for each listed
+  // node, one in use and one that replaces it. Clients get what remains.
+  // In a large fleet queries that touch all shards need connections to most nodes, while each of many
+  // aggregators has only a few clients.
+  // `setApart`: descriptors reserved for operators' calls, which neither side may use.
   static DescriptorShares of(std::size_t sockets, std::size_t listedNodes, std::size_t setApart = 0) {
-    constexpr std::size_t kOthers = 32;
+    constexpr std::size_t kOtherDescriptors = 32;
     sockets -= std::min(sockets, setApart);
-    const std::size_t quarter = sockets / 4, usable = sockets - std::min(sockets, kOthers);
+    const std::size_t quarter = sockets / 4;
+    const std::size_t usable = sockets - std::min(sockets, kOtherDescriptors);
     const auto nodes =
         std::clamp(2 * listedNodes, quarter, std::max(quarter, usable - std::min(usable, quarter)));
     return {nodes, std::max(quarter, usable - std::min(usable, nodes))};
--- a/src/platform/directory.cpp
+++ b/src/platform/directory.cpp
@@ -16,8 +16,14 @@
 using simdjson::dom::element;
 using simdjson::dom::object;
 
+constexpr std::int64_t kNanosPerMs = 1'000'000;
+constexpr std::int64_t kMaxCell = 1'000'000;
+// In the year 2255; as nanoseconds it still fits into 64 bits.
+constexpr std::int64_t kMaxStartedAtMs = 9'000'000'000'000;
+
+// Reads the value of a key; on an error returns false and sets `why`.
 template <class Value>
-bool get(const object& from, std::string_view key, Value& value, std::string& why) {
+bool readKey(const object& from, std::string_view key, Value& value, std::string& why) {
   if (from[key].get(value) == simdjson::SUCCESS) return true;
   why = "key " + std::string(key) + ": missing or of the wrong type";
   return false;
@@ -25,45 +31,49 @@
 
 std::optional<NodeEntry> readEntry(const object& from, const std::vector<std::string>& zones,
                                    std::string& why) {
-  std::string_view id, hostPort, zone, state;
-  std::int64_t cell = 0, started = 0;
-  NodeEntry out;
-  const bool zoned = from["zone"].error() != simdjson::NO_SUCH_FIELD;  // a site may have none
-  if (!get(from, "instanceId", id, why) || !get(from, "hostPort", hostPort, why) ||
-      (zoned && !get(from, "zone", zone, why)) || !get(from, "cell", cell, why) ||
-      !get(from, "lifecycle", state, why) || !get(from, "weight", out.weight, why) ||
-      !get(from, "startedAtMs", started, why))
+  std::string_view id;
+  std::string_view hostPort;
+  std::string_view zone;
+  std::string_view state;
+  std::int64_t cell = 0;
+  std::int64_t startedAtMs = 0;
+  NodeEntry entry;
+  const bool hasZone = from["zone"].error() != simdjson::NO_SUCH_FIELD;  // some sites have no zones
+  if (!readKey(from, "instanceId", id, why) || !readKey(from, "hostPort", hostPort, why) ||
+      (hasZone && !readKey(from, "zone", zone, why)) || !readKey(from, "cell", cell, why) ||
+      !readKey(from, "lifecycle", state, why) || !readKey(from, "weight", entry.weight, why) ||
+      !readKey(from, "startedAtMs", startedAtMs, why))
     return std::nullopt;
-  const auto wrong = [&](const char* key) {
+  const auto outOfRange = [&](const char* key) {
     why = "key " + std::string(key) + ": out of range";
     return std::nullopt;
   };
-  if (id.empty()) return wrong("instanceId");
-  if (cell < 0 || cell > 1'000'000) return wrong("cell");
-  if (!std::isfinite(out.weight) || out.weight < 0) return wrong("weight");
-  if (started < 0 || started > 9'000'000'000'000) return wrong("startedAtMs");
+  if (id.empty()) return outOfRange("instanceId");
+  if (cell < 0 || cell > kMaxCell) return outOfRange("cell");
+  if (!std::isfinite(entry.weight) || entry.weight < 0) return outOfRange("weight");
+  if (startedAtMs < 0 || startedAtMs > kMaxStartedAtMs) return outOfRange("startedAtMs");
   if (state == "Ready") {
-    out.state = ServerState::up;
+    entry.state = ServerState::up;
   } else if (state == "Terminating") {
-    out.state = ServerState::draining;
+    entry.state = ServerState::draining;
   } else if (state == "Gone") {
-    out.state = ServerState::gone;
+    entry.state = ServerState::gone;
   } else {
-    return wrong("lifecycle");
+    return outOfRange("lifecycle");
   }
-  // Only literal addresses: a name would have to be looked up, which would hold up the loop.
-  if (hostPort.find_first_not_of("0123456789.:") != std::string_view::npos) return wrong("hostPort");
+  // Only literal addresses: resolving a host name would block the event loop.
+  if (hostPort.find_first_not_of("0123456789.:") != std::string_view::npos) return outOfRange("hostPort");
   try {
-    out.address = Poco::Net::SocketAddress(std::string(hostPort));
+    entry.address = Poco::Net::SocketAddress(std::string(hostPort));
   } catch (const Poco::Exception&) {
-    return wrong("hostPort");
+    return outOfRange("hostPort");
   }
-  out.instance = id;
+  entry.instance = id;
   const auto at = std::find(zones.begin(), zones.end(), zone);
-  out.zone = static_cast<int>(at - zones.begin());
-  out.cell = static_cast<int>(cell);
-  out.startedAt = started * 1'000'000;
-  return out;
+  entry.zone = static_cast<int>(at - zones.begin());
+  entry.cell = static_cast<int>(cell);
+  entry.startedAt = startedAtMs * kNanosPerMs;
+  return entry;
 }
 
 }  // namespace
@@ -78,13 +88,13 @@
   }
   NodeList list;
   simdjson::dom::array entries;
-  if (!get(root, "generation", list.generation, why) || !get(root, "reset", list.full, why) ||
-      !get(root, "instances", entries, why))
+  if (!readKey(root, "generation", list.generation, why) || !readKey(root, "reset", list.full, why) ||
+      !readKey(root, "instances", entries, why))
     return std::nullopt;
   for (const auto item : entries) {
     object fields;
     if (item.get(fields) != simdjson::SUCCESS) {
-      why = "key instances: holds no objects";
+      why = "key instances: not a list of objects";
       return std::nullopt;
     }
     auto entry = readEntry(fields, zones, why);
@@ -96,40 +106,45 @@
 
 ListNews Directory::apply(const NodeList& list, ListNews::Scope scope) {
   const auto before = nodes_;
-  if (scope != ListNews::Scope::changes)  // what a full list does not name has left
-    for (auto& [id, node] : nodes_) node.entry.state = node.told = ServerState::gone;
-  ListNews news;
-  news.scope = scope;
+  if (scope != ListNews::Scope::changes) {  // nodes that a full list does not name have left
+    for (auto& [id, node] : nodes_) {
+      node.announcedState = ServerState::gone;
+      node.entry.state = ServerState::gone;
+    }
+  }
+  ListNews update;
+  update.scope = scope;
   for (auto entry : list.entries) {
-    const auto [at, fresh] = ids_.try_emplace(entry.instance, last_ + 1);
-    if (fresh) ++last_;
-    const auto was = before.find(at->second);
-    // Guards the rule on drains: an old list does not bring back a process known to drain or to be gone.
-    if (list.stale && was != before.end() && entry.startedAt <= was->second.entry.startedAt)
-      entry.state = std::max(entry.state, was->second.told);
-    const auto told = entry.state;
-    news.entries.push_back(hold(nodes_[at->second] = Node{at->second, std::move(entry), told}));
+    const auto [at, inserted] = ids_.try_emplace(entry.instance, lastId_ + 1);
+    if (inserted) ++lastId_;
+    const auto previous = before.find(at->second);
+    // A stale list must not return a process to service that is known to be draining or gone.
+    if (list.stale && previous != before.end() && entry.startedAt <= previous->second.entry.startedAt)
+      entry.state = std::max(entry.state, previous->second.announcedState);
+    const auto announcedState = entry.state;
+    update.entries.push_back(
+        applyHold(nodes_[at->second] = Node{at->second, std::move(entry), announcedState}));
   }
   for (const auto& [id, node] : nodes_) {
-    const auto was = before.find(id);
-    const bool went = was == before.end() || was->second.entry.state != ServerState::gone;
-    if (went && node.entry.state == ServerState::gone) gone_.push_back(id);
+    const auto previous = before.find(id);
+    const bool notGoneBefore = previous == before.end() || previous->second.entry.state != ServerState::gone;
+    if (notGoneBefore && node.entry.state == ServerState::gone) goneIds_.push_back(id);
   }
-  for (; gone_.size() > kGoneKept; gone_.pop_front()) {
-    const auto at = nodes_.find(gone_.front());
-    if (at == nodes_.end() || at->second.entry.state != ServerState::gone) continue;  // it came back
+  for (; goneIds_.size() > kMaxGoneNodes; goneIds_.pop_front()) {
+    const auto at = nodes_.find(goneIds_.front());
+    if (at == nodes_.end() || at->second.entry.state != ServerState::gone) continue;  // it has returned
     ids_.erase(at->second.entry.instance);
     nodes_.erase(at);
   }
-  return news;
+  return update;
 }
 
-// Guards the operators' word against lists: a leaf that they have taken out stays out, whoever calls it
-// ready.
-ServerEntry Directory::hold(Node& node) const {
+// Computes the effective state: a leaf that operators have taken out of service stays out, even if discovery
+// announces it as ready.
+ServerEntry Directory::applyHold(Node& node) const {
   auto& entry = node.entry;
-  const bool out = holds_ && holds_->out(entry.instance);
-  entry.state = out ? std::max(node.told, ServerState::draining) : node.told;
+  const bool outOfService = holds_ && holds_->out(entry.instance);
+  entry.state = outOfService ? std::max(node.announcedState, ServerState::draining) : node.announcedState;
   return {node.id, entry.zone, entry.cell, entry.state, entry.weight, startedAt(node)};
 }
 
@@ -139,27 +154,27 @@
 }
 
 ListNews Directory::moved(const std::vector<std::string>& instances) {
-  ListNews news;
-  news.scope = ListNews::Scope::changes;
+  ListNews update;
+  update.scope = ListNews::Scope::changes;
   for (const auto& instance : instances)
     if (const auto at = ids_.find(instance); at != ids_.end())
-      news.entries.push_back(hold(nodes_.at(at->second)));
-  return news;
+      update.entries.push_back(applyHold(nodes_.at(at->second)));
+  return update;
 }
 
 std::vector<int> Directory::shardsWithoutHolder(int shards, int cells, int reach) const {
-  std::vector<bool> held(static_cast<std::size_t>(cells), false);
+  std::vector<bool> cellServes(static_cast<std::size_t>(cells), false);
   for (const auto& [id, node] : nodes_)
     if (node.entry.state == ServerState::up && node.entry.cell >= 0 && node.entry.cell < cells)
-      held[static_cast<std::size_t>(node.entry.cell)] = true;
-  std::vector<int> out;
-  for (int s = 0; s < shards; ++s) {
-    bool any = false;
+      cellServes[static_cast<std::size_t>(node.entry.cell)] = true;
+  std::vector<int> unserved;
+  for (int shard = 0; shard < shards; ++shard) {
+    bool hasHolder = false;
     for (int j = 0; j < std::min(reach, cells); ++j)
-      any = any || held[static_cast<std::size_t>((s + j) % cells)];
-    if (!any) out.push_back(s);
+      hasHolder = hasHolder || cellServes[static_cast<std::size_t>((shard + j) % cells)];
+    if (!hasHolder) unserved.push_back(shard);
   }
-  return out;
+  return unserved;
 }
 
 std::string Directory::text(std::int64_t generation, const std::vector<std::string>& zones) const {
@@ -167,14 +182,15 @@
   std::string out = fmt::format(R"({{"generation":{},"reset":true,"instances":[)", generation);
   bool first = true;
   for (const auto& [id, node] : nodes_) {
-    if (node.told == ServerState::gone) continue;
-    const auto& e = node.entry;
-    const auto zone = static_cast<std::size_t>(e.zone);
+    if (node.announcedState == ServerState::gone) continue;
+    const auto& entry = node.entry;
+    const auto zone = static_cast<std::size_t>(entry.zone);
     out += fmt::format(
         R"({}{{"instanceId":{},"hostPort":"{}","zone":{},"cell":{},"lifecycle":"{}","weight":{},"startedAtMs":{}}})",
-        std::exchange(first, false) ? "" : ",", jsonText(e.instance), e.address.toString(),
-        jsonText(zone < zones.size() ? zones[zone] : std::string()), e.cell,
-        node.told == ServerState::up ? "Ready" : "Terminating", e.weight, e.startedAt / 1'000'000);
+        std::exchange(first, false) ? "" : ",", jsonText(entry.instance), entry.address.toString(),
+        jsonText(zone < zones.size() ? zones[zone] : std::string()), entry.cell,
+        node.announcedState == ServerState::up ? "Ready" : "Terminating", entry.weight,
+        entry.startedAt / kNanosPerMs);
   }
   return out + "]}";
 }
--- a/src/platform/directory.hpp
+++ b/src/platform/directory.hpp
@@ -1,4 +1,5 @@
-// The list of nodes as discovery tells it: decoded once, turned into the module's entries and addresses.
+// The list of nodes as discovery announces it, decoded and turned into entries and addresses for the decision
+// module.
 #pragma once
 
 #include <Poco/Net/SocketAddress.h>
@@ -15,63 +16,70 @@
 
 namespace topazweir::platform {
 
+// One node of a list.
 struct NodeEntry {
   std::string instance;
   Poco::Net::SocketAddress address;
-  int zone = 0, cell = 0;
+  int zone = 0;  // index into the configured zones; their number if the zone is not among them
+  int cell = 0;
   double weight = 1;
   ServerState state = ServerState::up;
-  Nanos startedAt = 0;
+  Nanos startedAt = 0;  // Unix time
 };
 
+// One list of discovery: the whole list or changes to it.
 struct NodeList {
   std::int64_t generation = 0;
   bool full = false;
-  bool stale = false;  // of an earlier generation than one told before, as after a move to a slower agent
+  bool stale = false;  // older generation than one received before, e.g. after a move to an agent that lags
   std::vector<NodeEntry> entries;
 };
 
-// Decodes one object in discovery's form. On a fault nothing is returned and `why` says which key is at
-// fault.
+// Decodes one JSON object in discovery's format. On an error returns nothing and sets `why` to a message that
+// names the faulty key.
 std::optional<NodeList> readNodeList(std::string_view json, const std::vector<std::string>& zones,
                                      std::string& why);
 
-// Keeps the numbers that stand for nodes inside the program, and their latest entries. Of nodes that have
-// gone only the latest few are kept: replaced day after day, they must not fill the memory.
+// Assigns the ids that stand for nodes inside the program, and keeps the latest entry of each node. Of nodes
+// that are gone it keeps only the last kMaxGoneNodes: with nodes replaced day after day, memory must not grow
+// without bound.
 class Directory {
  public:
   struct Node {
     ServerId id = 0;
-    NodeEntry entry;                     // as it holds: what operators have taken out is draining
-    ServerState told = ServerState::up;  // by discovery
+    NodeEntry entry;  // with the effective state: a node that operators took out of service is draining
+    ServerState announcedState = ServerState::up;  // by discovery
   };
-  // `holds`: the operators' word, which outranks every list; none: there is none. Must outlive this.
+  // `holds`: the nodes that operators have taken out of service, which override every list; may be null. Must
+  // outlive this.
   explicit Directory(const operation::Holds* holds = nullptr) : holds_(holds) {}
-  // Applies a list; returns the same as news for the module.
+  // Applies a list; returns it as an update for the decision module.
   ListNews apply(const NodeList& list, ListNews::Scope scope);
-  // After the operators' word on these has changed: news for the module. Ids that no list has named are left
-  // out.
+  // Recomputes these nodes after operators have taken them out of service or put them back; returns an update
+  // for the decision module. Instances that no list has named are skipped.
   ListNews moved(const std::vector<std::string>& instances);
+  // Null if unknown.
   const Node* find(ServerId id) const;
   const Node* find(std::string_view instance) const;
   const std::map<ServerId, Node>& all() const { return nodes_; }
-  Nanos startedAt(const Node& node) const;  // as the module is told
-  std::size_t serving() const;              // how many are up
+  // The start time that the decision module is given: after a hold it may be later than the announced one.
+  Nanos startedAt(const Node& node) const;
+  std::size_t serving() const;  // number of nodes that are up
   // The shards that no node serves: shard s is held by the cells (s + j) % cells for j in [0, reach).
   std::vector<int> shardsWithoutHolder(int shards, int cells, int reach) const;
-  // What discovery has told last, as a whole list in its form; those that are gone are left out.
+  // The current announced state as one full list in discovery's format, without nodes that are gone.
   std::string text(std::int64_t generation, const std::vector<std::string>& zones) const;
 
  private:
-  ServerEntry hold(Node& node) const;
+  ServerEntry applyHold(Node& node) const;
 
   const operation::Holds* holds_;
   std::map<std::string, ServerId, std::less<>> ids_;
   std::map<ServerId, Node> nodes_;
-  std::deque<ServerId> gone_;  // in the order in which they went
-  ServerId last_ = 0;
+  std::deque<ServerId> goneIds_;  // in the order in which they left
+  ServerId lastId_ = 0;
 
-  static constexpr std::size_t kGoneKept = 64;
+  static constexpr std::size_t kMaxGoneNodes = 64;
 };
 
 }  // namespace topazweir::platform
--- a/src/platform/frames.cpp
+++ b/src/platform/frames.cpp
@@ -7,13 +7,14 @@
 
 namespace {
 
-constexpr std::size_t kMostFrame =
-    128 * 1024;  // a value holds 64 KiB at most; beyond this the peer is broken
+// A value has at most 64 KiB; a length above this limit means that the peer is broken.
+constexpr std::size_t kMaxFrameBytes = 128 * 1024;
+constexpr std::size_t kLengthBytes = 4;
 
-std::string frame(char letter, std::string_view rest) {
+std::string encodeFrame(char letter, std::string_view rest) {
   const auto size = rest.size() + 1;
   std::string out;
-  out.reserve(4 + size);
+  out.reserve(kLengthBytes + size);
   for (const int shift : {24, 16, 8, 0}) out += static_cast<char>(size >> shift & 255U);
   out += letter;
   return out += rest;
@@ -22,18 +23,18 @@
 }  // namespace
 
 FrameRead readFrame(std::string_view input) {
-  if (input.size() < 4) return {};
+  if (input.size() < kLengthBytes) return {};
   std::size_t size = 0;
-  for (std::size_t i = 0; i < 4; ++i) size = size << 8 | static_cast<unsigned char>(input[i]);
-  if (size < 1 || size > kMostFrame) return {std::nullopt, true};
-  if (input.size() < 4 + size) return {};
-  return {Frame{input[4], input.substr(5, size - 1), 4 + size}, false};
+  for (std::size_t i = 0; i < kLengthBytes; ++i) size = size << 8 | static_cast<unsigned char>(input[i]);
+  if (size < 1 || size > kMaxFrameBytes) return {std::nullopt, true};
+  if (input.size() < kLengthBytes + size) return {};
+  return {Frame{input[kLengthBytes], input.substr(kLengthBytes + 1, size - 1), kLengthBytes + size}, false};
 }
 
 std::optional<Reply> readReply(std::string_view rest) {
   const auto end = rest.find('\n');
   if (end == std::string_view::npos) return std::nullopt;
-  std::array<std::string_view, 3> words;  // id, end, score; the report is behind them
+  std::array<std::string_view, 3> words;  // id, status, score; the load report follows
   std::string_view line = rest.substr(0, end);
   for (auto& word : words) {
     const auto space = std::min(line.find(' '), line.size());
@@ -52,9 +53,9 @@
   return reply;
 }
 
-std::string_view partOf(std::string_view input) {
-  if (input.size() < 5 || input[4] != 'R') return {};
-  const auto rest = input.substr(5);
+std::string_view partIdOfBrokenReply(std::string_view input) {
+  if (input.size() < kLengthBytes + 1 || input[kLengthBytes] != 'R') return {};
+  const auto rest = input.substr(kLengthBytes + 1);
   return rest.substr(0, std::min(rest.find(' '), rest.size()));
 }
 
@@ -63,9 +64,9 @@
   rest += ' ' + std::to_string(shard) + " d=" + std::to_string(std::max<Nanos>(1, wait / 1'000'000)) + ' ' +
           std::to_string(query.size()) + '\n';
   rest += query;
-  return frame('S', rest);
+  return encodeFrame('S', rest);
 }
 
-std::string writeCancel(std::string_view partId) { return frame('C', partId); }
+std::string writeCancel(std::string_view partId) { return encodeFrame('C', partId); }
 
 }  // namespace topazweir::platform
--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -8,28 +8,30 @@
                              broker::Broker& broker, std::function<std::string()> counters)
     : broker_(broker), counters_(std::move(counters)), server_(loop, log, std::move(options), *this) {}
 
-void PlatformFront::say(http::Server::ExchangeNo exchange, int status, std::string text) {
+void PlatformFront::respondText(http::Server::ExchangeNo exchange, int status, std::string text) {
   server_.respond(exchange, {status, "text/plain", std::move(text), {}});
 }
 
 void PlatformFront::onRequest(http::Server::ExchangeNo exchange, const http::Head& head,
                               std::string_view body) {
   const auto path = head.target.substr(0, head.target.find('?'));
-  const bool page = path == "/up" || path == "/counters";
-  if (page && head.method != "GET") return say(exchange, 405, "only GET here\n");
-  if (path == "/up") return up_ ? say(exchange, 200, "up\n") : say(exchange, 503, "draining\n");
-  if (path == "/counters") return say(exchange, 200, counters_());
-  if (head.method != "POST") return say(exchange, 405, "queries are sent as POST\n");
-  query(exchange, head, body);
+  const bool isPage = path == "/up" || path == "/counters";
+  if (isPage && head.method != "GET") return respondText(exchange, 405, "this page answers GET only\n");
+  if (path == "/up")
+    return up_ ? respondText(exchange, 200, "up\n") : respondText(exchange, 503, "draining\n");
+  if (path == "/counters") return respondText(exchange, 200, counters_());
+  if (head.method != "POST") return respondText(exchange, 405, "queries must be sent with POST\n");
+  handleQuery(exchange, head, body);
 }
 
-void PlatformFront::query(http::Server::ExchangeNo exchange, const http::Head& head, std::string_view body) {
+void PlatformFront::handleQuery(http::Server::ExchangeNo exchange, const http::Head& head,
+                                std::string_view body) {
   auto read = readQuery(head, body, broker_.terms());
   if (const auto* fault = std::get_if<http::Fault>(&read))
-    return say(exchange, fault->status, std::string(fault->why) + "\n");
+    return respondText(exchange, fault->status, std::string(fault->why) + "\n");
   const auto taken = broker_.take(std::get<broker::Request>(std::move(read)), *this);
   if (const auto* invalid = std::get_if<broker::Invalid>(&taken))
-    return say(exchange, 400, invalid->why + "\n");
+    return respondText(exchange, 400, invalid->why + "\n");
   const auto request = std::get<broker::RequestNo>(taken);
   exchanges_[request] = exchange;
   requests_[exchange] = request;
--- a/src/platform/front.hpp
+++ b/src/platform/front.hpp
@@ -1,4 +1,5 @@
-// The platform's front: queries as POST, /up for the front layer before it, /counters for people.
+// The platform's HTTP front: queries as POST, GET /up for the load balancer's health check, GET /counters for
+// people.
 #pragma once
 
 #include <functional>
@@ -11,10 +12,12 @@
 
 class PlatformFront : public broker::Front, private http::Server::Handler {
  public:
+  // `counters`: the body of GET /counters.
   PlatformFront(net::Loop& loop, broker::Log& log, http::Server::Options options, broker::Broker& broker,
                 std::function<std::string()> counters);
 
-  void up(bool takesClients) { up_ = takesClients; }  // what /up says: 200, else 503
+  // Sets what /up answers: 200 when clients are accepted, else 503.
+  void up(bool takesClients) { up_ = takesClients; }
   http::Server& server() { return server_; }
   const http::Server& server() const { return server_; }
 
@@ -22,8 +25,8 @@
   void onRequest(http::Server::ExchangeNo exchange, const http::Head& head, std::string_view body) override;
   void onGone(http::Server::ExchangeNo exchange) override;
   void finish(broker::RequestNo request, broker::FinalAnswer answer) override;
-  void query(http::Server::ExchangeNo exchange, const http::Head& head, std::string_view body);
-  void say(http::Server::ExchangeNo exchange, int status, std::string text);
+  void handleQuery(http::Server::ExchangeNo exchange, const http::Head& head, std::string_view body);
+  void respondText(http::Server::ExchangeNo exchange, int status, std::string text);
 
   broker::Broker& broker_;
   std::function<std::string()> counters_;
--- a/src/platform/node_pool.cpp
+++ b/src/platform/node_pool.cpp
@@ -10,94 +10,106 @@
 namespace topazweir::platform {
 
 namespace {
-constexpr Nanos kSweep = 1'000'000'000;
-// An idle connection is given up well before the node's machine closes it: a request written to it from then
-// on would end as a reset.
-constexpr double kIdleShare = 0.8;
-// A node writes an answer in one go: what has not come in whole by then never will.
-constexpr Nanos kFrameTime = 100'000'000;
-// An attempt given up on after this long, and so many times what answers take lately, with nothing heard on
-// its connection since, speaks against that connection.
-constexpr Nanos kSilent = 100'000'000;
-constexpr double kSilentTimes = 6, kMeanStep = 0.05;
-// A connection suspected and heard after all was a slow node's: so much more time from then on. One that was
-// rightly ended takes that back.
-constexpr double kPatienceStep = 1.5, kMostPatience = 8;
-constexpr int kFewAnswers = 20;      // fewer say nothing of the mean
-constexpr Nanos kLook = 25'000'000;  // how often connections are looked at for that
-// Parts that were out on a connection, remembered to tell a late or doubled answer from one to a strange id.
-constexpr std::size_t kOverKept = 512;
+constexpr Nanos kCleanupIntervalNs = 1'000'000'000;
+// Share of the idle time-out after which an idle connection is closed from here, well before the node's
+// machine closes it: a request written to a closed connection would end as a reset.
+constexpr double kIdleTimeoutShare = 0.8;
+// A node writes an answer in one go, so a frame that is incomplete for longer never completes.
+constexpr Nanos kFrameTimeoutNs = 100'000'000;
+// A connection is unresponsive when nothing has arrived on it for this time, or for this many mean response
+// times if that is longer, while it has attempts out.
+constexpr Nanos kMinUnresponsiveTimeoutNs = 100'000'000;
+constexpr double kUnresponsiveMeanMultiple = 6;
+constexpr double kMeanAnswerWeight = 0.05;  // of the latest response time in the moving average
+// If data arrives on a suspected connection after all, the node was only slow, and the time-out is multiplied
+// by this factor from then on, up to a limit. Closing a connection that was indeed dead divides it again.
+constexpr double kTimeoutFactorStep = 1.5;
+constexpr double kMaxTimeoutFactor = 8;
+constexpr int kMinAnswersForMean = 20;  // with fewer the mean response time is not used
+constexpr Nanos kUnresponsiveCheckIntervalNs = 25'000'000;
+// Finished parts remembered for each connection, to tell a late or duplicate answer from one with an unknown
+// id.
+constexpr std::size_t kMaxFinishedParts = 512;
 }  // namespace
 
+// One connection to a node, with the attempts that it carries.
 struct NodePool::Link : net::Connection::Owner {
   NodePool& pool;
   ServerId server;
-  Nanos startedAt;  // of the process behind it
+  Nanos startedAt;  // of the node's process
   std::shared_ptr<net::Connection> connection;
-  std::map<std::string, broker::AttemptId, std::less<>> outs;  // by the part's id
-  std::deque<broker::AttemptId> waiting;                       // of these, what has not left, in order
-  std::deque<std::string> over;                                // ids of parts that were out before
-  Nanos lastUsed = 0, heardAt = 0;
-  Nanos answeredSentAt = 0;         // when the youngest part that it has answered was sent
-  Nanos waitsSince = 0;             // it has attempts out and has said nothing
-  bool suspect = false;             // silent where it should have answered
-  bool spoilt = false;              // it sent what cannot be read: of no further use
-  std::string culprit;              // the part whose answer was that, if it can be told
-  net::Loop::TimerId frameTimer{};  // running while a frame is incomplete
-  bool midFrame = false;
+  std::map<std::string, broker::AttemptId, std::less<>> attempts;  // open, by the part's id
+  std::deque<broker::AttemptId> unsent;   // of these, those whose frame has not been written, in order
+  std::deque<std::string> finishedParts;  // ids of parts sent here whose attempt has ended
+  Nanos lastUsed = 0;
+  Nanos lastDataAt = 0;
+  Nanos newestAnsweredSentAt = 0;   // when the most recently sent part that was answered here was sent
+  Nanos waitingSince = 0;           // since when it has had attempts out without any data arriving
+  bool suspect = false;             // unresponsive for too long: accepts no further attempts
+  bool broken = false;              // it sent something unreadable: accepts no further attempts
+  std::string brokenPartId;         // the part whose answer was unreadable, where that is known
+  net::Loop::TimerId frameTimer{};  // runs while a frame is incomplete
+  bool frameIncomplete = false;
 
   Link(NodePool& owner, ServerId to, Nanos started) : pool(owner), server(to), startedAt(started) {}
   ~Link() override {
     pool.loop_.cancel(frameTimer);
     if (connection) connection->close();
   }
-  bool wasOut(std::string_view partId) const {
-    return std::find(over.begin(), over.end(), partId) != over.end();
+  bool hasFinished(std::string_view partId) const {
+    return std::find(finishedParts.begin(), finishedParts.end(), partId) != finishedParts.end();
   }
-  // Guards against parts that would wait behind what never ends, or could not be told from earlier ones.
-  bool takes(std::string_view partId, std::size_t streams) const {
-    return outs.size() < streams && !suspect && !spoilt && !midFrame && !connection->peerLeft() &&
-           outs.count(partId) == 0 && !wasOut(partId);
+  // Whether a further part may be sent here. Not behind a frame that may never complete, and not if the same
+  // part was sent here before, since its answers could not be told apart.
+  bool accepts(std::string_view partId, std::size_t streams) const {
+    return attempts.size() < streams && !suspect && !broken && !frameIncomplete && !connection->peerLeft() &&
+           attempts.count(partId) == 0 && !hasFinished(partId);
   }
   void onUp(net::Connection&) override { pool.onUp(*this); }
   void onData(net::Connection&) override { pool.onData(*this); }
-  void onFlushed(net::Connection&) override { pool.writeWaiting(*this); }
+  void onFlushed(net::Connection&) override { pool.writeUnsent(*this); }
   void onEnd(net::Connection&, net::ConnectionEnd end) override { pool.onEnd(*this, end); }
 };
 
 NodePool::NodePool(net::Loop& loop, broker::Log& log, const Directory& directory, Options options,
-                   Ended ended)
-    : loop_(loop), log_(log), directory_(directory), options_(options), ended_(std::move(ended)) {
-  sweepTimer_ = loop_.after(kSweep, [this] { sweep(); });
-  lookTimer_ = loop_.after(kLook, [this] { endSilent(); });
+                   OnAttemptEnd onAttemptEnd)
+    : loop_(loop),
+      log_(log),
+      directory_(directory),
+      options_(options),
+      onAttemptEnd_(std::move(onAttemptEnd)) {
+  unusedTimer_ = loop_.after(kCleanupIntervalNs, [this] { closeUnused(); });
+  unresponsiveTimer_ = loop_.after(kUnresponsiveCheckIntervalNs, [this] { closeUnresponsive(); });
 }
 
 NodePool::~NodePool() {
-  loop_.cancel(sweepTimer_);
-  loop_.cancel(lookTimer_);
-  for (auto& [id, out] : outs_) loop_.cancel(out.timer);
+  loop_.cancel(unusedTimer_);
+  loop_.cancel(unresponsiveTimer_);
+  for (auto& [id, attempt] : pending_) loop_.cancel(attempt.timeout);
 }
 
-// A connection with room: one that is up before one that is coming up; else a new one.
-NodePool::Link* NodePool::linkFor(const Directory::Node& node, std::string_view partId) {
+// Prefers an established connection with room, then one that is being established, else opens a new one. Null
+// at the connection limit.
+NodePool::Link* NodePool::chooseLink(const Directory::Node& node, std::string_view partId) {
   Link* best = nullptr;
   for (auto& [key, link] : links_) {
-    if (link->server != node.id || !link->takes(partId, options_.streams)) continue;
+    if (link->server != node.id || !link->accepts(partId, options_.streamsPerConnection)) continue;
     if (!best || (link->connection->up() && !best->connection->up())) best = key;
   }
-  if (best && !closedMeanwhile(*best)) return best;
-  if (links_.size() >= options_.mostConnections && !makeRoom()) {
+  if (best && !closedByPeer(*best)) return best;
+  if (links_.size() >= options_.maxConnections && !evictIdleLink()) {
     log_.line("node.connection_limit", node.entry.instance);
     return nullptr;
   }
-  return open(node);
+  return openLink(node);
 }
 
-// Guards attempts against a connection that the node's machine has closed while it rested, which the loop has
-// not come to yet: what is written to it may have run, as far as can be told.
-bool NodePool::closedMeanwhile(Link& link) {
-  if (!link.connection->up() || !link.outs.empty()) return false;
-  if (link.connection->readMore()) {  // words on parts that are over; the loop will not speak of them again
+// Whether the node's machine has closed an idle connection without the loop having handled that yet. An
+// attempt written to such a connection could not be told from one that has run.
+bool NodePool::closedByPeer(Link& link) {
+  if (!link.connection->up() || !link.attempts.empty()) return false;
+  // What this reads concerns finished parts; the loop will not report it again.
+  if (link.connection->readMore()) {
     const std::weak_ptr<Link> weak = links_.at(&link);
     loop_.soon([this, weak] {
       const auto self = weak.lock();
@@ -107,20 +119,20 @@
   return link.connection->peerLeft();
 }
 
-NodePool::Link* NodePool::open(const Directory::Node& node) {
+NodePool::Link* NodePool::openLink(const Directory::Node& node) {
   auto link = std::make_shared<Link>(*this, node.id, node.entry.startedAt);
-  link->connection = net::Connection::connect(loop_, node.entry.address, options_.connectTime, *link);
+  link->connection = net::Connection::connect(loop_, node.entry.address, options_.connectTimeout, *link);
   ++opened_;
   return links_.emplace(link.get(), link).first->first;
 }
 
 void NodePool::connectAll() {
-  std::set<ServerId> linked;
-  for (const auto& [key, link] : links_) linked.insert(link->server);
+  std::set<ServerId> connected;
+  for (const auto& [key, link] : links_) connected.insert(link->server);
   for (const auto& [id, node] : directory_.all()) {
-    if (links_.size() >= options_.mostConnections) return;
-    const bool wanted = node.entry.state == ServerState::up && linked.count(id) == 0;
-    if (wanted && connectedAhead_.insert(id).second) open(node)->lastUsed = loop_.now();
+    if (links_.size() >= options_.maxConnections) return;
+    const bool needsConnection = node.entry.state == ServerState::up && connected.count(id) == 0;
+    if (needsConnection && connectedAhead_.insert(id).second) openLink(node)->lastUsed = loop_.now();
   }
 }
 
@@ -129,12 +141,12 @@
                      [](const auto& link) { return link.second->connection->up(); });
 }
 
-// Guards queries of a large fleet, which take turns over more nodes than there are descriptors: the
-// connection that has been idle for longest gives way, and only what is in use holds a place.
-bool NodePool::makeRoom() {
+// Closes the connection that has been idle for longest; false if none is idle. Queries of a large fleet go to
+// more nodes in turn than there are descriptors, so only connections in use may hold on to theirs.
+bool NodePool::evictIdleLink() {
   const Link* oldest = nullptr;
   for (const auto& [key, link] : links_)
-    if (link->outs.empty() && (!oldest || link->lastUsed < oldest->lastUsed)) oldest = key;
+    if (link->attempts.empty() && (!oldest || link->lastUsed < oldest->lastUsed)) oldest = key;
   if (!oldest) return false;
   oldest->connection->end(net::ConnectionEnd::closedHere);
   return true;
@@ -143,137 +155,146 @@
 void NodePool::start(broker::AttemptOrder order) {
   const auto id = order.id;
   const auto* node = directory_.find(order.server);
-  // Guards the rule on leaving nodes, whatever is asked.
+  // Nodes that drain or are gone get no attempts, whatever the broker asks for.
   const bool serves = node && node->entry.state == ServerState::up;
-  auto* link = serves ? linkFor(*node, order.partId) : nullptr;
-  if (!link) return ended_(id, Outcome::notSent, {});  // our own limit: nothing that the node is to blame for
-  link->outs[order.partId] = id;
+  auto* link = serves ? chooseLink(*node, order.partId) : nullptr;
+  if (!link)
+    return onAttemptEnd_(id, Outcome::notSent, {});  // our own connection limit: not the node's fault
+  link->attempts[order.partId] = id;
   link->lastUsed = loop_.now();
-  const auto timer = loop_.after(order.wait, [this, id] { timedOut(id); });
-  outs_[id] = Out{std::move(order), links_.at(link), 0, 0, timer};
-  link->waiting.push_back(id);
-  if (link->connection->up()) writeWaiting(*link);
+  const auto timeout = loop_.after(order.wait, [this, id] { onAttemptTimeout(id); });
+  pending_[id] = PendingAttempt{std::move(order), links_.at(link), 0, 0, timeout};
+  link->unsent.push_back(id);
+  if (link->connection->up()) writeUnsent(*link);
 }
 
-// As long as the connection takes them at once; what stands behind is written when it has.
-void NodePool::writeWaiting(Link& link) {
-  while (!link.waiting.empty() && link.connection->flushed()) {
-    const auto id = link.waiting.front();
-    link.waiting.pop_front();
-    Out& out = outs_.at(id);
-    if (const Nanos by = out.order.writeBy; by == 0 || loop_.now() <= by) {
-      write(out);
+// Writes frames as long as the socket takes them at once; the others follow when it has been flushed.
+// Attempts past their writeBy time end as notSent.
+void NodePool::writeUnsent(Link& link) {
+  while (!link.unsent.empty() && link.connection->flushed()) {
+    const auto id = link.unsent.front();
+    link.unsent.pop_front();
+    PendingAttempt& attempt = pending_.at(id);
+    if (const Nanos by = attempt.order.writeBy; by == 0 || loop_.now() <= by) {
+      writeFrame(attempt);
       continue;
     }
-    const std::weak_ptr<Link> weak = out.link;  // from the loop: this may be called from within start()
+    const std::weak_ptr<Link> weak = attempt.link;  // deferred: this may run within start()
     loop_.soon([this, weak, id] {
       if (!weak.expired()) finish(id, Outcome::notSent, {});
     });
   }
 }
 
-void NodePool::write(Out& out) {
-  auto& connection = *out.link->connection;
-  const Nanos left = std::max<Nanos>(0, out.timer.first - loop_.now());
-  connection.write(writeCall(out.order.partId, out.order.shard, left, *out.order.query));
-  out.frameEnd = connection.queued();
-  out.queuedAt = loop_.now();
-  if (out.link->outs.size() == 1) out.link->waitsSince = out.queuedAt;
+void NodePool::writeFrame(PendingAttempt& attempt) {
+  auto& connection = *attempt.link->connection;
+  const Nanos timeLeft = std::max<Nanos>(0, attempt.timeout.first - loop_.now());
+  connection.write(writeCall(attempt.order.partId, attempt.order.shard, timeLeft, *attempt.order.query));
+  attempt.frameEnd = connection.queued();
+  attempt.frameWrittenAt = loop_.now();
+  if (attempt.link->attempts.size() == 1) attempt.link->waitingSince = attempt.frameWrittenAt;
 }
 
-void NodePool::release(const Out& out) {
-  loop_.cancel(out.timer);
-  Link& link = *out.link;
-  link.outs.erase(out.order.partId);
-  if (out.frameEnd == 0) {
-    std::erase(link.waiting, out.order.id);
+// Detaches an attempt that has ended from its connection.
+void NodePool::release(const PendingAttempt& attempt) {
+  loop_.cancel(attempt.timeout);
+  Link& link = *attempt.link;
+  link.attempts.erase(attempt.order.partId);
+  if (attempt.frameEnd == 0) {
+    std::erase(link.unsent, attempt.order.id);
   } else {
-    link.over.push_back(out.order.partId);
+    link.finishedParts.push_back(attempt.order.partId);
   }
-  if (link.over.size() > kOverKept) link.over.pop_front();
+  if (link.finishedParts.size() > kMaxFinishedParts) link.finishedParts.pop_front();
   link.lastUsed = loop_.now();
 }
 
-// Guards against connections that stay open and are dead: one that was silent for all the time that an
-// attempt was given gets no further parts, and is closed when nothing waits on it.
-void NodePool::giveUp(const broker::AttemptId& id) {
-  const auto at = outs_.find(id);
-  if (at == outs_.end()) return;
-  const Out out = std::move(at->second);
-  outs_.erase(at);
-  release(out);
-  if (out.frameEnd == 0) return;
-  const auto& link = out.link;
-  const Nanos age = loop_.now() - out.queuedAt;
-  link->suspect = link->suspect || (link->heardAt < out.queuedAt && age >= silentLimit());
-  link->connection->write(writeCancel(out.order.partId));
-  if (link->suspect && link->outs.empty()) link->connection->end(net::ConnectionEnd::closedHere);
+// Ends an attempt without an outcome and cancels it at the node. Handles connections that stay open although
+// they are dead: one on which nothing arrived for all of the attempt's time gets no further parts, and is
+// closed once it has no attempts.
+void NodePool::abandon(const broker::AttemptId& id) {
+  const auto at = pending_.find(id);
+  if (at == pending_.end()) return;
+  const PendingAttempt attempt = std::move(at->second);
+  pending_.erase(at);
+  release(attempt);
+  if (attempt.frameEnd == 0) return;
+  const auto& link = attempt.link;
+  const Nanos age = loop_.now() - attempt.frameWrittenAt;
+  link->suspect =
+      link->suspect || (link->lastDataAt < attempt.frameWrittenAt && age >= unresponsiveTimeout());
+  link->connection->write(writeCancel(attempt.order.partId));
+  if (link->suspect && link->attempts.empty()) link->connection->end(net::ConnectionEnd::closedHere);
 }
 
-Nanos NodePool::silentLimit() const {
-  return static_cast<Nanos>(patience_ * std::max(static_cast<double>(kSilent), kSilentTimes * meanAnswer_));
+Nanos NodePool::unresponsiveTimeout() const {
+  return static_cast<Nanos>(timeoutFactor_ * std::max(static_cast<double>(kMinUnresponsiveTimeoutNs),
+                                                      kUnresponsiveMeanMultiple * meanAnswerNs_));
 }
 
-// Guards sound nodes against connections that have fallen silent: what is out there would count against the
-// node, and keep it set aside, until the clients' time is up. Such a connection gets no more parts, and it
-// ends when the node has answered on another one what was sent well after: otherwise the node may just be
-// slow, and to ask anew would be a storm, more so when every aggregator does.
-void NodePool::endSilent() {
-  lookTimer_ = loop_.after(kLook, [this] { endSilent(); });
-  if (answers_ < kFewAnswers) return;
-  std::map<ServerId, Nanos> answered;
+// Handles connections to healthy nodes on which nothing arrives any more: until the clients' deadlines their
+// attempts would count against the node and keep it ejected. Such a connection gets no further parts. It is
+// closed only once the node has answered on another connection what was sent well after: otherwise the node
+// may just be slow, and retries, above all from every aggregator at once, would be a retry storm.
+void NodePool::closeUnresponsive() {
+  unresponsiveTimer_ = loop_.after(kUnresponsiveCheckIntervalNs, [this] { closeUnresponsive(); });
+  if (answerCount_ < kMinAnswersForMean) return;
+  std::map<ServerId, Nanos> newestAnsweredSentAt;
   for (const auto& [key, link] : links_)
-    answered[link->server] = std::max(answered[link->server], link->answeredSentAt);
-  std::vector<std::shared_ptr<Link>> mute;
+    newestAnsweredSentAt[link->server] =
+        std::max(newestAnsweredSentAt[link->server], link->newestAnsweredSentAt);
+  std::vector<std::shared_ptr<Link>> unresponsive;
   for (const auto& [key, link] : links_) {
-    if (!link->connection->up() || link->outs.empty() || loop_.now() - link->waitsSince <= silentLimit())
+    if (!link->connection->up() || link->attempts.empty() ||
+        loop_.now() - link->waitingSince <= unresponsiveTimeout())
       continue;
     link->suspect = true;
-    if (answered[link->server] - link->waitsSince > static_cast<Nanos>(meanAnswer_)) mute.push_back(link);
+    if (newestAnsweredSentAt[link->server] - link->waitingSince > static_cast<Nanos>(meanAnswerNs_))
+      unresponsive.push_back(link);
   }
-  for (const auto& link : mute) {
-    patience_ = std::max(1.0, patience_ / kPatienceStep);
+  for (const auto& link : unresponsive) {
+    timeoutFactor_ = std::max(1.0, timeoutFactor_ / kTimeoutFactorStep);
     link->connection->end(net::ConnectionEnd::silent);
   }
 }
 
-void NodePool::cancel(const broker::AttemptId& id) { giveUp(id); }
+void NodePool::cancel(const broker::AttemptId& id) { abandon(id); }
 
 void NodePool::finish(const broker::AttemptId& id, Outcome outcome, std::string value) {
-  const auto at = outs_.find(id);
-  if (at == outs_.end()) return;
+  const auto at = pending_.find(id);
+  if (at == pending_.end()) return;
   release(at->second);
-  outs_.erase(at);
-  ended_(id, outcome, std::move(value));
+  pending_.erase(at);
+  onAttemptEnd_(id, outcome, std::move(value));
 }
 
-void NodePool::timedOut(const broker::AttemptId& id) {
-  giveUp(id);
-  ended_(id, Outcome::timedOut, {});
+void NodePool::onAttemptTimeout(const broker::AttemptId& id) {
+  abandon(id);
+  onAttemptEnd_(id, Outcome::timedOut, {});
 }
 
 void NodePool::onUp(Link& link) {
-  link.waitsSince = loop_.now();
-  writeWaiting(link);
+  link.waitingSince = loop_.now();
+  writeUnsent(link);
 }
 
-// All that has come is read before any of it is acted on. Good answers before a spoilt one count, and so does
-// one with noise behind it; but the module may answer with new parts, and these must not go to a connection
-// that is already known to be of no use.
+// Reads all input before acting on any of it. Valid answers before an unreadable one count, also if garbage
+// follows them; but the decision module may react to them with new parts, and these must not be sent on a
+// connection that is already known to be broken.
 void NodePool::onData(Link& link) {
-  const auto self = links_.at(&link);  // an outcome may lead to its end
+  const auto self = links_.at(&link);  // keeps it alive: an outcome may lead to its close
   auto& input = link.connection->input();
-  struct Arrived {
+  struct Answer {
     broker::AttemptId id;
     Outcome outcome;
     std::string value;
   };
-  std::vector<Arrived> arrived;
-  std::size_t used = 0;
+  std::vector<Answer> answers;
+  std::size_t consumed = 0;
   auto end = net::ConnectionEnd::badPeer;
-  while (!link.spoilt) {
-    const auto waiting = std::string_view(input).substr(used);
-    const auto read = readFrame(waiting);
+  while (!link.broken) {
+    const auto unread = std::string_view(input).substr(consumed);
+    const auto read = readFrame(unread);
     if (!read.frame && !read.fault) break;
     const char letter = read.frame ? read.frame->letter : '\0';
     if (letter == 'F') {
@@ -281,52 +302,56 @@
       end = net::ConnectionEnd::peerFault;
     }
     const auto reply = letter == 'R' ? readReply(read.frame->rest) : std::nullopt;
-    const auto out = reply ? link.outs.find(reply->id) : link.outs.end();
-    if (out != link.outs.end()) {
-      const auto id = out->second;
-      const bool twice =
-          std::any_of(arrived.begin(), arrived.end(), [&](const auto& a) { return a.id == id; });
-      if (!twice) {
-        arrived.push_back({id, reply->outcome, std::string(reply->value)});
-        link.answeredSentAt = std::max(link.answeredSentAt, outs_.at(id).queuedAt);
-        const auto took = static_cast<double>(loop_.now() - outs_.at(id).queuedAt);
-        meanAnswer_ += (answers_ == 0 ? 1 : kMeanStep) * (took - meanAnswer_);
-        answers_ = std::min(answers_ + 1, kFewAnswers);
+    const auto attempt = reply ? link.attempts.find(reply->id) : link.attempts.end();
+    if (attempt != link.attempts.end()) {
+      const auto id = attempt->second;
+      const bool duplicate =
+          std::any_of(answers.begin(), answers.end(), [&](const auto& answer) { return answer.id == id; });
+      if (!duplicate) {
+        answers.push_back({id, reply->outcome, std::string(reply->value)});
+        const Nanos sentAt = pending_.at(id).frameWrittenAt;
+        link.newestAnsweredSentAt = std::max(link.newestAnsweredSentAt, sentAt);
+        const auto responseTimeNs = static_cast<double>(loop_.now() - sentAt);
+        meanAnswerNs_ += (answerCount_ == 0 ? 1 : kMeanAnswerWeight) * (responseTimeNs - meanAnswerNs_);
+        answerCount_ = std::min(answerCount_ + 1, kMinAnswersForMean);
       }
-    } else if (!reply || !link.wasOut(reply->id)) {  // else given up on meanwhile, or answered before
-      link.spoilt = true;
-      link.culprit = partOf(waiting);
+    } else if (!reply || !link.hasFinished(reply->id)) {  // otherwise abandoned meanwhile, or answered before
+      link.broken = true;
+      link.brokenPartId = partIdOfBrokenReply(unread);
       break;
     }
-    used += read.frame->size;
+    consumed += read.frame->size;
   }
-  if (used > 0) {
-    if (link.suspect) patience_ = std::min(kMostPatience, patience_ * kPatienceStep);
-    link.heardAt = link.waitsSince = loop_.now();
-    link.suspect = link.midFrame = false;
-    input.erase(0, used);
+  if (consumed > 0) {
+    if (link.suspect) timeoutFactor_ = std::min(kMaxTimeoutFactor, timeoutFactor_ * kTimeoutFactorStep);
+    link.lastDataAt = loop_.now();
+    link.waitingSince = link.lastDataAt;
+    link.suspect = false;
+    link.frameIncomplete = false;
+    input.erase(0, consumed);
   }
-  watchFrame(link);
-  for (auto& a : arrived) finish(a.id, a.outcome, std::move(a.value));
-  if (link.spoilt) return link.connection->end(end);
+  updateFrameTimer(link);
+  for (auto& answer : answers) finish(answer.id, answer.outcome, std::move(answer.value));
+  if (link.broken) return link.connection->end(end);
   link.connection->resume();
 }
 
-// Guards against a frame that never ends, whose claimed length swallows all that follows it.
-void NodePool::watchFrame(Link& link) {
-  const bool begun = !link.connection->input().empty() && !link.spoilt;
-  if (begun && link.midFrame) return;
+// Starts or stops the timer of an incomplete frame. A frame that never completes would swallow all that
+// follows as part of its claimed length.
+void NodePool::updateFrameTimer(Link& link) {
+  const bool incomplete = !link.connection->input().empty() && !link.broken;
+  if (incomplete && link.frameIncomplete) return;
   loop_.cancel(link.frameTimer);
-  link.midFrame = begun;
-  if (!begun) return;
-  link.frameTimer = loop_.after(kFrameTime, [this, &link] {
+  link.frameIncomplete = incomplete;
+  if (!incomplete) return;
+  link.frameTimer = loop_.after(kFrameTimeoutNs, [this, &link] {
     const auto self = links_.at(&link);
-    // Timers go before sockets: on a machine that stood still the rest may be here.
-    const Nanos heardAt = link.heardAt;
+    // Timers run before sockets: after a stall of the process the rest may have arrived already.
+    const Nanos lastDataAt = link.lastDataAt;
     if (link.connection->readMore()) onData(link);
-    if (links_.count(self.get()) == 0 || link.heardAt != heardAt) return;
-    link.spoilt = true;
-    link.culprit = partOf(link.connection->input());
+    if (links_.count(self.get()) == 0 || link.lastDataAt != lastDataAt) return;
+    link.broken = true;
+    link.brokenPartId = partIdOfBrokenReply(link.connection->input());
     link.connection->end(net::ConnectionEnd::badPeer);
   });
 }
@@ -340,54 +365,57 @@
   const auto* node = directory_.find(link.server);
   if (end != net::ConnectionEnd::closedHere)
     log_.line("node.connection_ended", (node ? node->entry.instance : std::string("?")) + " end=" +
-                                           nameOf(end) + " attempts=" + std::to_string(link.outs.size()));
+                                           nameOf(end) + " attempts=" + std::to_string(link.attempts.size()));
   std::vector<std::pair<broker::AttemptId, Outcome>> ended;
-  for (const auto& [partId, id] : link.outs) {
-    const auto frameEnd = outs_.at(id).frameEnd;
-    const bool blamed = partId == link.culprit || link.outs.size() == 1;
-    const auto cause = end == net::ConnectionEnd::badPeer && !blamed ? net::ConnectionEnd::beside : end;
+  for (const auto& [partId, id] : link.attempts) {
+    const auto frameEnd = pending_.at(id).frameEnd;
+    const bool atFault = partId == link.brokenPartId || link.attempts.size() == 1;
+    const auto cause = end == net::ConnectionEnd::badPeer && !atFault ? net::ConnectionEnd::beside : end;
     ended.emplace_back(id, net::outcomeOf(cause, frameEnd > 0 && link.connection->written() >= frameEnd));
   }
   for (const auto& [id, outcome] : ended) finish(id, outcome, {});
 }
 
-// A process that has started since knows nothing of this connection, even where no reset came through.
-bool NodePool::replaced(const Link& link) const {
+// Whether the node's process has started after the connection was opened: the new process does not know the
+// connection, even if no reset arrived.
+bool NodePool::nodeRestarted(const Link& link) const {
   const auto* node = directory_.find(link.server);
   return node && node->entry.startedAt > link.startedAt;
 }
 
-bool NodePool::serves(const Link& link) const {
+bool NodePool::nodeServes(const Link& link) const {
   const auto* node = directory_.find(link.server);
-  return node && node->entry.state == ServerState::up && !replaced(link);
+  return node && node->entry.state == ServerState::up && !nodeRestarted(link);
 }
 
-bool NodePool::useless(const Link& link) const {
-  return replaced(link) || (link.outs.empty() && !serves(link));
+bool NodePool::obsolete(const Link& link) const {
+  return nodeRestarted(link) || (link.attempts.empty() && !nodeServes(link));
 }
 
 void NodePool::listChanged() {
-  // Called back first: what they answer may go elsewhere, and their connections have less to wait for.
-  std::vector<broker::AttemptId> back;
+  // Withdrawn first: the broker may send these attempts elsewhere, and their connections have less to wait
+  // for.
+  std::vector<broker::AttemptId> withdrawn;
   for (const auto& [key, link] : links_) {
-    if (!serves(*link)) back.insert(back.end(), link->waiting.begin(), link->waiting.end());
+    if (!nodeServes(*link)) withdrawn.insert(withdrawn.end(), link->unsent.begin(), link->unsent.end());
   }
-  for (const auto& id : back) finish(id, Outcome::notSent, {});
-  std::vector<std::shared_ptr<Link>> stale;
+  for (const auto& id : withdrawn) finish(id, Outcome::notSent, {});
+  std::vector<std::shared_ptr<Link>> obsoleteLinks;
   for (const auto& [key, link] : links_)
-    if (useless(*link)) stale.push_back(link);
-  for (const auto& link : stale)
-    link->connection->end(link->outs.empty() ? net::ConnectionEnd::closedHere : net::ConnectionEnd::replaced);
+    if (obsolete(*link)) obsoleteLinks.push_back(link);
+  for (const auto& link : obsoleteLinks)
+    link->connection->end(link->attempts.empty() ? net::ConnectionEnd::closedHere
+                                                 : net::ConnectionEnd::replaced);
 }
 
-void NodePool::sweep() {
-  sweepTimer_ = loop_.after(kSweep, [this] { sweep(); });
-  listChanged();  // what still had attempts out when its node left
-  if (options_.idle <= 0) return;
-  const auto most = static_cast<Nanos>(kIdleShare * static_cast<double>(options_.idle));
+void NodePool::closeUnused() {
+  unusedTimer_ = loop_.after(kCleanupIntervalNs, [this] { closeUnused(); });
+  listChanged();  // connections that still had attempts when their node left
+  if (options_.idleTimeout <= 0) return;
+  const auto maxIdle = static_cast<Nanos>(kIdleTimeoutShare * static_cast<double>(options_.idleTimeout));
   std::vector<std::shared_ptr<Link>> idle;
   for (const auto& [key, link] : links_)
-    if (link->outs.empty() && loop_.now() - link->lastUsed > most) idle.push_back(link);
+    if (link->attempts.empty() && loop_.now() - link->lastUsed > maxIdle) idle.push_back(link);
   for (const auto& link : idle) link->connection->end(net::ConnectionEnd::closedHere);
 }
 
--- a/src/platform/node_pool.hpp
+++ b/src/platform/node_pool.hpp
@@ -1,4 +1,4 @@
-// The broker's backend on the platform: attempts as frames on pooled connections to the nodes.
+// The broker's backend on the platform: sends attempts as frames over pooled connections to the nodes.
 #pragma once
 
 #include <functional>
@@ -17,77 +17,84 @@
 
 class NodePool : public broker::Backend {
  public:
-  using Ended = std::function<void(const broker::AttemptId&, Outcome, std::string value)>;
+  using OnAttemptEnd = std::function<void(const broker::AttemptId&, Outcome, std::string value)>;
   struct Options {
-    std::size_t streams = 1;  // attempts that one connection carries at once
-    Nanos idle = 0;           // the node's machine closes an idle connection then, at the latest; 0: never
-    Nanos connectTime = 0;
-    std::size_t mostConnections = 256;
+    std::size_t streamsPerConnection = 1;  // attempts that one connection carries at once
+    Nanos idleTimeout =
+        0;  // after which, at the latest, the node's machine closes an idle connection; 0: never
+    Nanos connectTimeout = 0;
+    std::size_t maxConnections = 256;
   };
 
-  NodePool(net::Loop& loop, broker::Log& log, const Directory& directory, Options options, Ended ended);
+  // `directory` must outlive this. `onAttemptEnd` is called once for each attempt that is not cancelled.
+  NodePool(net::Loop& loop, broker::Log& log, const Directory& directory, Options options,
+           OnAttemptEnd onAttemptEnd);
   ~NodePool() override;
 
   void start(broker::AttemptOrder order) override;
   void cancel(const broker::AttemptId& id) override;
-  // After the directory has changed: what leads to a process that is no more ends, and what has not left for
-  // a node that serves no more is called back; it cannot have run.
+  // To be called after the directory has changed. Connections to processes that no longer exist are closed.
+  // Attempts for nodes that no longer serve end as notSent if nothing of them has been written: they cannot
+  // have run.
   void listChanged();
-  void limit(Options options) { options_ = options; }  // holds from now on
-  // Opens a connection to each node that serves and has none, as far as there is room: a process that follows
-  // another one must not meet its first queries without any. Once for each node: one that refuses is not
-  // asked anew at every call.
+  // Replaces the options; applies from now on.
+  void limit(Options options) { options_ = options; }
+  // Opens a connection to each serving node that has none, within the limit, so that a process that takes
+  // over from another one has connections for its first queries. At most once for each node: a node that
+  // refuses is not dialled again at every call.
   void connectAll();
-  bool settled() const;  // no connection is still coming up
+  bool settled() const;  // no connection is still being established
   std::size_t connections() const { return links_.size(); }
-  std::uint64_t opened() const { return opened_; }
+  std::uint64_t opened() const { return opened_; }  // connections since the start
 
  private:
   struct Link;
-  struct Out {  // an attempt that is out
+  struct PendingAttempt {
     broker::AttemptOrder order;
     std::shared_ptr<Link> link;
-    // Offset behind its frame among the bytes written; 0: none of it has left. Frames wait here and not with
-    // the connection, so that they can be called back.
+    // Offset of the end of its frame in the connection's output; 0: nothing of it has been written. Unwritten
+    // frames wait in the Link, not in the connection's buffer, so that they can be withdrawn.
     std::uint64_t frameEnd = 0;
-    Nanos queuedAt = 0;  // its frame
-    net::Loop::TimerId timer;
+    Nanos frameWrittenAt = 0;
+    net::Loop::TimerId timeout;
   };
 
-  Link* linkFor(const Directory::Node& node, std::string_view partId);
-  Link* open(const Directory::Node& node);
-  bool makeRoom();
-  bool replaced(const Link& link) const;
-  bool serves(const Link& link) const;
-  bool useless(const Link& link) const;
-  bool closedMeanwhile(Link& link);
-  void write(Out& out);
-  void writeWaiting(Link& link);
+  Link* chooseLink(const Directory::Node& node, std::string_view partId);
+  Link* openLink(const Directory::Node& node);
+  bool evictIdleLink();
+  bool nodeRestarted(const Link& link) const;
+  bool nodeServes(const Link& link) const;
+  bool obsolete(const Link& link) const;
+  bool closedByPeer(Link& link);
+  void writeFrame(PendingAttempt& attempt);
+  void writeUnsent(Link& link);
   void finish(const broker::AttemptId& id, Outcome outcome, std::string value);
-  void release(const Out& out);
-  void giveUp(const broker::AttemptId& id);
-  void watchFrame(Link& link);
+  void release(const PendingAttempt& attempt);
+  void abandon(const broker::AttemptId& id);
+  void updateFrameTimer(Link& link);
   void onUp(Link& link);
   void onData(Link& link);
   void onEnd(Link& link, net::ConnectionEnd end);
-  void timedOut(const broker::AttemptId& id);
-  void sweep();
-  void endSilent();
-  Nanos silentLimit() const;
+  void onAttemptTimeout(const broker::AttemptId& id);
+  void closeUnused();
+  void closeUnresponsive();
+  Nanos unresponsiveTimeout() const;
 
   net::Loop& loop_;
   broker::Log& log_;
   const Directory& directory_;
   Options options_;
-  Ended ended_;
+  OnAttemptEnd onAttemptEnd_;
   std::map<Link*, std::shared_ptr<Link>> links_;
-  std::set<ServerId> connectedAhead_;  // by connectAll(); as many as there are nodes at the start
-  std::map<broker::AttemptId, Out> outs_;
-  net::Loop::TimerId sweepTimer_, lookTimer_;
+  std::set<ServerId>
+      connectedAhead_;  // nodes that connectAll() has dialled; bounded by the nodes at the start
+  std::map<broker::AttemptId, PendingAttempt> pending_;
+  net::Loop::TimerId unusedTimer_;
+  net::Loop::TimerId unresponsiveTimer_;
   std::uint64_t opened_ = 0;
-  int answers_ = 0;        // counted up to a few
-  double meanAnswer_ = 0;  // ns, of late
-  double patience_ = 1;    // with silent connections: grows where nodes are slow
+  int answerCount_ = 0;       // up to kMinAnswersForMean
+  double meanAnswerNs_ = 0;   // moving average of response times
+  double timeoutFactor_ = 1;  // of the unresponsive time-out: grows where nodes prove slow, not dead
 };
 
 }  // namespace topazweir::platform
--- a/src/platform/query.cpp
+++ b/src/platform/query.cpp
@@ -14,11 +14,14 @@
 
 using simdjson::SUCCESS;
 
+constexpr double kMaxDeadlineSeconds = 86400;
+
+// Reads a positive number of seconds up to kMaxDeadlineSeconds.
 std::optional<Nanos> readSeconds(std::string_view text) {
   double value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
   if (text.empty() || error != std::errc{} || end != text.data() + text.size()) return std::nullopt;
-  if (!std::isfinite(value) || value <= 0 || value > 86400) return std::nullopt;
+  if (!std::isfinite(value) || value <= 0 || value > kMaxDeadlineSeconds) return std::nullopt;
   return static_cast<Nanos>(value * 1e9);
 }
 
@@ -27,28 +30,30 @@
 std::variant<broker::Request, http::Fault> readQuery(const http::Head& head, std::string_view body,
                                                      const broker::Terms& terms) {
   broker::Request request;
-  const auto id = head.field("Req-Id"), kind = head.field("Req-Kind"), owner = head.field("Req-Owner"),
-             deadline = head.field("Req-Deadline");
+  const auto id = head.field("Req-Id");
+  const auto kind = head.field("Req-Kind");
+  const auto owner = head.field("Req-Owner");
+  const auto deadline = head.field("Req-Deadline");
   if (!id || id->empty()) return http::Fault{400, "Req-Id is missing"};
   if (!deadline) return http::Fault{400, "Req-Deadline is missing"};
   request.id = *id;
   const auto path = head.target.substr(0, head.target.find('?'));
-  const auto first = path.substr(1, path.find('/', 1) - 1);
+  const auto className = path.substr(1, path.find('/', 1) - 1);
   const auto& classes = terms.settings.classes;
-  const auto cls =
-      std::find_if(classes.begin(), classes.end(), [&](const QueryClass& c) { return c.name == first; });
-  if (cls == classes.end()) return http::Fault{404, "unknown class"};
-  if (kind && *kind != first) return http::Fault{400, "Req-Kind differs from the path"};
-  request.queryClass = static_cast<int>(cls - classes.begin());
+  const auto queryClass =
+      std::find_if(classes.begin(), classes.end(), [&](const QueryClass& c) { return c.name == className; });
+  if (queryClass == classes.end()) return http::Fault{404, "unknown class"};
+  if (kind && *kind != className) return http::Fault{400, "Req-Kind differs from the path"};
+  request.queryClass = static_cast<int>(queryClass - classes.begin());
   if (!terms.contracts.empty()) {
     const auto tenant = std::find_if(terms.contracts.begin(), terms.contracts.end(),
                                      [&](const broker::Contract& c) { return owner && c.tenant == *owner; });
     if (tenant == terms.contracts.end()) return http::Fault{400, "Req-Owner is missing or unknown"};
     request.tenant = static_cast<int>(tenant - terms.contracts.begin());
   }
-  const auto time = readSeconds(*deadline);
-  if (!time) return http::Fault{400, "Req-Deadline is out of range"};
-  request.timeLeft = *time;
+  const auto timeLeft = readSeconds(*deadline);
+  if (!timeLeft) return http::Fault{400, "Req-Deadline is out of range"};
+  request.timeLeft = *timeLeft;
   request.repeat = head.field("Req-Retry").value_or("") == "1";
 
   simdjson::dom::parser parser;
@@ -57,15 +62,16 @@
   std::string_view query;
   if (parser.parse(simdjson::padded_string(body)).get(root) != SUCCESS)
     return http::Fault{400, "the body is not a JSON object"};
-  if (root["query"].get(query) != SUCCESS) return http::Fault{400, "query is missing or not a text"};
-  if (root["targets"].get(targets) != SUCCESS) return http::Fault{400, "targets is missing or not a list"};
+  if (root["query"].get(query) != SUCCESS) return http::Fault{400, "query is missing or not a string"};
+  if (root["targets"].get(targets) != SUCCESS) return http::Fault{400, "targets is missing or not an array"};
   request.query = query;
   for (const auto item : targets) {
     std::int64_t shard = 0;
     broker::PartRequest part;
     if (item["partition"].get(shard) != SUCCESS || shard < 0 || shard >= terms.settings.shards)
       return http::Fault{400, "a partition is missing or unknown"};
-    if (item["share"].get(part.weight) != SUCCESS) return http::Fault{400, "a share is missing or no number"};
+    if (item["share"].get(part.weight) != SUCCESS)
+      return http::Fault{400, "a share is missing or not a number"};
     part.shard = static_cast<int>(shard);
     request.parts.push_back(part);
   }
--- a/src/platform/query.hpp
+++ b/src/platform/query.hpp
@@ -1,4 +1,5 @@
-// A platform query: from its head and body to the broker's request, and from the final answer to a response.
+// Conversion of a platform query: from HTTP head and body to the broker's request, and from the final answer
+// to an HTTP response.
 #pragma once
 
 #include <string>
@@ -11,9 +12,11 @@
 
 namespace topazweir::platform {
 
-// A request, or what is wrong with it.
+// Returns the request, or a 400 or 404 that says what is wrong with it.
 std::variant<broker::Request, http::Fault> readQuery(const http::Head& head, std::string_view body,
                                                      const broker::Terms& terms);
+// 200 with the results as JSON; 503 when refused, with Retry-After where one is given; 504 or 502 when
+// failed.
 http::Response writeAnswer(const broker::FinalAnswer& answer);
 
 }  // namespace topazweir::platform
--- a/src/platform/retry_pace.cpp
+++ b/src/platform/retry_pace.cpp
@@ -6,73 +6,97 @@
 
 namespace {
 constexpr Nanos kMs = 1'000'000;
-constexpr Nanos kEach = 20 * kMs;      // a turn: some tens of calls a second, however many ask
-constexpr Nanos kShortest = 50 * kMs;  // a small fleet may ask at once, nearly
-constexpr int kDoublings = 3;
-// A service that is not overbooked answers at once, and in a small fleet one silent connection must leave the
-// time for a second; an overbooked service has said no itself after two turns, or 2 s.
-constexpr Nanos kAnswerTime = 1000 * kMs;
-// However many ask, what discovery has is in kCounted after it could have been asked: from the moment that
-// the last call tells of to the next call. Patience has nearly all of it, for a call given up on loses its
-// place in the queue and is served in vain; the wait after that is a second at most.
-constexpr Nanos kLongestGap = RetryPace::kCounted - RetryPace::kConnectTime - kAnswerTime;
-constexpr Nanos kLongestPatience = kLongestGap - RetryPace::kConnectTime - 1000 * kMs;
-// Of an agent on the own machine. Together they are less than the time that a drain allows after its news.
-constexpr Nanos kPushedAnswer = 300 * kMs, kPushedWait = 100 * kMs;
-// Kept free at the end of what is left: to connect, to read the list, and for a second call.
-constexpr Nanos kSecondCall = RetryPace::kConnectTime + kAnswerTime + kShortest;
-// Of the call that keeps its place: two lists a second for all who ask. Too short, and its successor begins
-// behind all that has come in meanwhile; too long costs a descriptor.
-constexpr Nanos kSlowestEach = 500 * kMs;
-constexpr Nanos kShortestPlace = 60'000 * kMs, kLongestPlace = 1'800'000 * kMs;
+// Part of a round for each client: the service gets some tens of requests a second, whatever the fleet's
+// size.
+constexpr Nanos kRoundTimePerClientNs = 20 * kMs;
+constexpr Nanos kMinWaitNs = 50 * kMs;  // a small fleet may ask almost at once
+constexpr int kMaxDoublings = 3;        // of the waits
+// A service that is not overloaded answers at once, and in a small fleet one unresponsive connection must
+// leave time for a second; an overloaded service refuses by itself after two rounds, or 2 s.
+constexpr Nanos kMinAnswerTimeoutNs = 1000 * kMs;
+// Longest time from the moment whose state the last request reports to the start of the next request, so that
+// updates are known within kUpdateDeadlineNs in a fleet of any size. The time-out for an answer takes nearly
+// all of it, for a request that is given up on loses its place in the queue and is worked off in vain; the
+// wait after that is 1 s at most.
+constexpr Nanos kMaxRequestGapNs =
+    RetryPace::kUpdateDeadlineNs - RetryPace::kConnectTimeoutNs - kMinAnswerTimeoutNs;
+constexpr Nanos kMaxAnswerTimeoutNs = kMaxRequestGapNs - RetryPace::kConnectTimeoutNs - 1000 * kMs;
+// For an agent on the same machine. Their sum is below the time that a drain allows after its announcement.
+constexpr Nanos kAgentAnswerTimeoutNs = 300 * kMs;
+constexpr Nanos kAgentWaitNs = 100 * kMs;
+// Reserved at the end of the time left: to connect, to read the list, and for a second request.
+constexpr Nanos kSecondRequestReserveNs = RetryPace::kConnectTimeoutNs + kMinAnswerTimeoutNs + kMinWaitNs;
+// For the request that keeps its place in the queue: a service of two lists a second must get through the
+// whole fleet. If this is too short, the request that replaces it starts behind all that have arrived
+// meanwhile; if it is too long it costs a descriptor.
+constexpr Nanos kSlowestServiceTimeNs = 500 * kMs;
+constexpr Nanos kMinKeptRequestTimeoutNs = 60'000 * kMs;
+constexpr Nanos kMaxKeptRequestTimeoutNs = 1'800'000 * kMs;
 }  // namespace
 
-RetryPace::RetryPace(int askers, bool pushed, std::uint64_t seed)
-    : turn_(std::min(kLongestGap, kEach * std::max(1, askers))),
-      placeTime_(std::clamp(kSlowestEach * askers, kShortestPlace, kLongestPlace)),
+RetryPace::RetryPace(int clients, bool pushed, std::uint64_t seed)
+    : roundTime_(std::min(kMaxRequestGapNs, kRoundTimePerClientNs * std::max(1, clients))),
+      keptRequestTimeout_(
+          std::clamp(kSlowestServiceTimeNs * clients, kMinKeptRequestTimeoutNs, kMaxKeptRequestTimeoutNs)),
       pushed_(pushed),
       random_(seed) {}
 
-void RetryPace::heard(Nanos now) { due_ = now + kCounted, begun_ = now; }
-void RetryPace::moved(Nanos now) { due_ = now + kCountedAfterMove, begun_ = now, succeeded(); }
+void RetryPace::recordData(Nanos now) {
+  updateDeadline_ = now + kUpdateDeadlineNs;
+  lastRequestAt_ = now;
+}
 
-// What is left for a first call and the wait before it, while a second one would still come in time.
-Nanos RetryPace::leftForFirst(Nanos now) const { return std::max<Nanos>(0, due_ - now - kSecondCall); }
+void RetryPace::recordMove(Nanos now) {
+  updateDeadline_ = now + kUpdateDeadlineAfterMoveNs;
+  lastRequestAt_ = now;
+  recordSuccess();
+}
 
-// The longest wait after which the next call still brings in time what the last one may have missed. A call
-// tells of the moment at which it began, for what came later may have been there for another; a refusal is
-// discovery's own word, and tells of now.
-Nanos RetryPace::longestWait(Nanos now, bool refused) const {
-  const Nanos gone = refused ? 0 : std::clamp<Nanos>(now - begun_, 0, kConnectTime + kLongestPatience);
-  Nanos most = kLongestGap - gone;
+// Time left for a first request and the wait before it, such that a second one still meets the deadline.
+Nanos RetryPace::timeForFirstRequest(Nanos now) const {
+  return std::max<Nanos>(0, updateDeadline_ - now - kSecondRequestReserveNs);
+}
+
+// The longest wait after which the next request still brings in time what the last one may have missed. A
+// request that fails reports discovery's state as of its start, since later updates may have been available
+// to another one; a refusal comes from discovery itself, so it reports the state as of now.
+Nanos RetryPace::maxWait(Nanos now, bool refused) const {
+  const Nanos elapsed =
+      refused ? 0 : std::clamp<Nanos>(now - lastRequestAt_, 0, kConnectTimeoutNs + kMaxAnswerTimeoutNs);
+  Nanos wait = kMaxRequestGapNs - elapsed;
   if (refused) {
-    // At once: not from a queue, so it says nothing of the load, and what the last watch missed is still due.
-    // After a time in its queue: the fleet is served as fast as it can be.
-    const Nanos left = due_ - now - kConnectTime - kAnswerTime;
-    if (now - begun_ < kAnswerTime && left > kShortest) most = std::min(most, left);
-  } else if (due_ > now + kShortest) {
-    // Half of what is left, the other half is the answer's.
-    most = std::min(most, std::max(kShortest, leftForFirst(now) / 2));
+    // An immediate refusal does not come from a queue and says nothing about the load, so the deadline for
+    // what the last watch missed still applies. After time in the queue it does not: the fleet is already
+    // served as fast as it can be.
+    const Nanos left = updateDeadline_ - now - kConnectTimeoutNs - kMinAnswerTimeoutNs;
+    if (now - lastRequestAt_ < kMinAnswerTimeoutNs && left > kMinWaitNs) wait = std::min(wait, left);
+  } else if (updateDeadline_ > now + kMinWaitNs) {
+    // Half of the time left; the other half is for the answer.
+    wait = std::min(wait, std::max(kMinWaitNs, timeForFirstRequest(now) / 2));
   }
-  return most;
+  return wait;
 }
 
-// The first wait may be next to none: only so does a fleet that asks at once fill the time that it has.
-Nanos RetryPace::next(Nanos now, bool refused) {
-  int& before = refused ? refusals_ : failures_;
-  const Nanos grown = pushed_ ? kPushedWait : std::max(kShortest, turn_) << std::min(before, kDoublings);
-  const Nanos most = std::min(grown, longestWait(now, refused));
-  const Nanos least = failures_ == 0 && !refused ? kMs : most / 2;
-  ++before;
-  const Nanos wait = std::uniform_int_distribution<Nanos>(least, most)(random_);
-  begun_ = now + wait;
+// The first wait may be close to zero: only then do the requests of a fleet that fails all at once spread
+// over the whole time available.
+Nanos RetryPace::nextWait(Nanos now, bool refused) {
+  int& previous = refused ? refusals_ : failures_;
+  const Nanos backoff =
+      pushed_ ? kAgentWaitNs : std::max(kMinWaitNs, roundTime_) << std::min(previous, kMaxDoublings);
+  const Nanos longest = std::min(backoff, maxWait(now, refused));
+  const Nanos shortest = failures_ == 0 && !refused ? kMs : longest / 2;
+  ++previous;
+  const Nanos wait = std::uniform_int_distribution<Nanos>(shortest, longest)(random_);
+  lastRequestAt_ = now + wait;
   return wait;
 }
 
-Nanos RetryPace::patience(Nanos now) const {
-  if (pushed_) return kPushedAnswer;
-  const Nanos most = std::min(kLongestPatience, std::max(kAnswerTime, 2 * turn_) << std::min(failures_, 1));
-  return due_ > now ? std::min(most, std::max(kAnswerTime, leftForFirst(now))) : most;
+Nanos RetryPace::answerTimeout(Nanos now) const {
+  if (pushed_) return kAgentAnswerTimeoutNs;
+  const Nanos longest =
+      std::min(kMaxAnswerTimeoutNs, std::max(kMinAnswerTimeoutNs, 2 * roundTime_) << std::min(failures_, 1));
+  return updateDeadline_ > now ? std::min(longest, std::max(kMinAnswerTimeoutNs, timeForFirstRequest(now)))
+                               : longest;
 }
 
 }  // namespace topazweir::platform
--- a/src/platform/retry_pace.hpp
+++ b/src/platform/retry_pace.hpp
@@ -8,58 +8,70 @@
 
 namespace topazweir::platform {
 
-// Guards discovery against its own callers, and the rule on news against their politeness.
+// Retry policy for the requests to discovery. It balances two needs: the service must survive all aggregators
+// asking at once, and every aggregator must have updates by a deadline.
 //
-// Where one service is asked by all aggregators, a watch that ends for many at once, or a fleet that restarts
-// together, brings all their calls in the same moment, and a call given up on is served all the same. So
-// waits are drawn anew each time, from a span that grows with the number of those who ask and doubles with
-// each failure; and a call is left waiting where it has a place in the queue.
+// Load: where one service serves all aggregators, a watch that ends for many at once, or a restart of the
+// whole fleet, brings all requests at the same time (a thundering herd), and a request that its client has
+// given up on is worked off all the same. So waits are random, from a span that grows with the number of
+// aggregators and doubles with each failure; and a request that has a place in the service's queue is left
+// open.
 //
-// But what discovery has counts as told kCounted after it could have been asked, whatever befell the calls
-// before: no wait and no patience goes beyond that, in any fleet. Nor does what a silent watch misses wait
-// longer after its last word, or what a new configuration moves longer than kCountedAfterMove: until then the
-// calls are so many, and so patient, that a second one is answered in time when the first is not. A fleet too
-// large to be served in kCounted asks no less often: its waits are drawn from all that this leaves.
+// Deadline: an aggregator is expected to know an update kUpdateDeadlineNs after discovery could have been
+// asked for it, whatever happened to earlier requests; no wait and no time-out exceeds that in a fleet of any
+// size. The same limit holds, from the last data on, for updates that an unresponsive watch misses. After a
+// new configuration has moved discovery the limit is kUpdateDeadlineAfterMoveNs. Within these limits there is
+// time for a second request when the first is not answered. A fleet too large to be served within
+// kUpdateDeadlineNs asks no less often: its waits are drawn from all the time that the deadline leaves.
 //
-// So early a call is given up on that a service which never refuses, and works its queue in turn, would
-// answer only those that have left. The first one whose patience is over therefore keeps its place while the
-// next ones are made beside it: a hedged request. It is kept and they are renewed, not the other way round,
-// since what lies ahead of the oldest call only shrinks. Two calls are open at most, and no more are made
-// than without it. Its time is bounded, for a call may be lost: by what a slow service would need for all who
-// ask.
+// Hedging: time-outs are so short that an overloaded service which never refuses and works off its queue in
+// order would only ever answer requests that have been given up on. So the first request that times out stays
+// open and keeps its place in the queue while the next ones are sent beside it (hedged requests). The oldest
+// one is kept and the newer ones are replaced, not the reverse, since the queue ahead of the oldest request
+// only shrinks. At most two requests are open, and no more are sent than without hedging. A kept request may
+// be lost, so its lifetime is bounded by the time that a slow service needs for the whole fleet.
 //
-// Where lists are pushed, an agent beside the program answers at once and at no cost, and what it holds
-// counts as told: it is asked without delay, each time, and not waited for, and also after it has said no.
+// Pushed lists: an agent on the same machine answers at once and at no cost, and an update counts as
+// announced as soon as the agent has it. So the agent is asked at short intervals with a short time-out,
+// without back-off and without hedging, also after it has refused.
 class RetryPace {
  public:
-  RetryPace(int askers, bool pushed, std::uint64_t seed);
+  // `clients`: how many ask the same service. `pushed`: lists come from an agent on this machine.
+  RetryPace(int clients, bool pushed, std::uint64_t seed);
 
-  // After a failure or a lost watch: the wait before the next call. `refused`: discovery has said no itself.
-  // If that came from its queue it is overbooked, and haste would keep it so.
-  Nanos next(Nanos now, bool refused = false);
-  Nanos patience(Nanos now) const;  // for the first words of an answer
-  // A call's patience is over: how long it stays open beside the next ones, to keep its place in discovery's
-  // queue; 0: it is given up on. `taken`: an older call does so already. Waits and patience go on as if it
-  // had been given up on.
-  Nanos keepPlace(bool taken) const { return taken || pushed_ ? 0 : placeTime_; }
-  void heard(Nanos now);  // the last word of a watch
-  void moved(Nanos now);  // discovery is elsewhere, by a new configuration
-  void succeeded() { failures_ = refusals_ = 0; }
+  // After a failure or a lost watch: the wait before the next request. `refused`: discovery itself answered
+  // with an error. If the request had waited in its queue, the service is overloaded, and asking sooner on
+  // account of the deadline would keep it so.
+  Nanos nextWait(Nanos now, bool refused = false);
+  // How long to wait for the first data of an answer.
+  Nanos answerTimeout(Nanos now) const;
+  // How long a request that has timed out stays open beside the next ones, to keep its place in discovery's
+  // queue; 0: it is closed. `alreadyKept`: an older request is kept already. Waits and time-outs are the same
+  // whether or not it is kept.
+  Nanos keptRequestTimeout(bool alreadyKept) const {
+    return alreadyKept || pushed_ ? 0 : keptRequestTimeout_;
+  }
+  void recordData(Nanos now);  // data of a watch has arrived
+  void recordMove(Nanos now);  // a new configuration names another address of discovery
+  void recordSuccess() { failures_ = refusals_ = 0; }
 
-  static constexpr Nanos kSilence = 2'500'000'000;  // a sound watch says something every 2 s
-  static constexpr Nanos kCounted = 6'000'000'000, kCountedAfterMove = 4'000'000'000;
-  static constexpr Nanos kConnectTime = 300'000'000;
+  static constexpr Nanos kWatchIdleTimeoutNs = 2'500'000'000;  // a healthy watch sends something every 2 s
+  static constexpr Nanos kUpdateDeadlineNs = 6'000'000'000;
+  static constexpr Nanos kUpdateDeadlineAfterMoveNs = 4'000'000'000;
+  static constexpr Nanos kConnectTimeoutNs = 300'000'000;
 
  private:
-  Nanos leftForFirst(Nanos now) const;
-  Nanos longestWait(Nanos now, bool refused) const;
+  Nanos timeForFirstRequest(Nanos now) const;
+  Nanos maxWait(Nanos now, bool refused) const;
 
-  Nanos turn_;  // in which each who asks could have a call of its own
-  Nanos placeTime_;
+  Nanos roundTime_;  // in which the service can answer one request of each client
+  Nanos keptRequestTimeout_;
   bool pushed_;
-  int failures_ = 0, refusals_ = 0;  // apart: one that refuses is up again, and waits grow from the turn
-  Nanos begun_ = 0;                  // the last call, or the last word of a watch
-  Nanos due_ = 0;                    // news that may have been missed counts as told from then on; 0: none
+  // Counted apart: a service that refuses is reachable again, and waits grow from one round anew.
+  int failures_ = 0;
+  int refusals_ = 0;
+  Nanos lastRequestAt_ = 0;   // start of the last request, or the last data of a watch
+  Nanos updateDeadline_ = 0;  // by which updates that may have been missed must be known; 0: none
   std::mt19937_64 random_;
 };
 
--- a/src/platform/side.cpp
+++ b/src/platform/side.cpp
@@ -7,7 +7,7 @@
 namespace topazweir::platform {
 
 namespace {
-constexpr std::size_t kNamed = 20;  // shards named in one line of the log
+constexpr std::size_t kMaxLoggedShards = 20;  // of the shards without a holder, in one log line
 }
 
 Side::Side(net::Loop& loop, broker::Log& log, config::Config config, std::function<std::string()> counters,
@@ -21,22 +21,24 @@
             [this](const auto& id, auto outcome, auto value) {
               broker_.attemptEnded(id, outcome, std::move(value));
             }),
-      broker_(config_.terms, clock_, noting_, log_) {
-  learnKnown();
+      broker_(config_.terms, clock_, reportingBackend_, log_) {
+  applyKnownList();
   discovery_.emplace(
       loop, log_, Poco::Net::SocketAddress(config_.discovery), config_.zones, generation_,
       RetryPace(config_.terms.settings.aggregators, config_.pushed, config_.terms.settings.seed),
       [this](const auto& list) {
-        listTold_ = true, generation_ = list.generation;
-        tell(list, list.full ? ListNews::Scope::full : ListNews::Scope::changes);
+        listReceived_ = true;
+        generation_ = list.generation;
+        applyList(list, list.full ? ListNews::Scope::full : ListNews::Scope::changes);
       });
-  http::Server::Options options{"platform", Poco::Net::SocketAddress(config_.listen), shares().clients};
+  http::Server::Options options{"platform", Poco::Net::SocketAddress(config_.listen),
+                                descriptorShares().clients};
   options.inherited = operated_.listener;
   options.accepts = operated_.accepts;
   front_.emplace(loop, log_, std::move(options), broker_, std::move(counters));
 }
 
-DescriptorShares Side::shares() const {
+DescriptorShares Side::descriptorShares() const {
   return DescriptorShares::of(shared_ ? config_.sockets / 2 : config_.sockets, directory_.serving(),
                               operated_.setApart);
 }
@@ -45,7 +47,7 @@
   if (std::exchange(shared_, shared) != shared) applyLimits();
 }
 
-void Side::Noting::start(broker::AttemptOrder order) {
+void Side::ReportingBackend::start(broker::AttemptOrder order) {
   const auto* node = side_.operated_.sent ? side_.directory_.find(order.server) : nullptr;
   if (node) side_.operated_.sent(node->entry.instance, side_.directory_.startedAt(*node));
   side_.pool_.start(std::move(order));
@@ -55,15 +57,16 @@
   if (const auto* node = directory_.find(std::string_view(instance))) broker_.sentElsewhere(node->id, at);
 }
 
-void Side::moved(const std::vector<std::string>& instances) { tell(directory_.moved(instances)); }
+void Side::moved(const std::vector<std::string>& instances) { publish(directory_.moved(instances)); }
 
 NodePool::Options Side::poolOptions() const {
-  return {config_.streamsPerConnection, config_.connectionIdle, config_.connectTimeout, shares().nodes};
+  return {config_.streamsPerConnection, config_.connectionIdle, config_.connectTimeout,
+          descriptorShares().nodes};
 }
 
 void Side::applyLimits() {
   pool_.limit(poolOptions());
-  if (front_) front_->server().limit(shares().clients);
+  if (front_) front_->server().limit(descriptorShares().clients);
 }
 
 std::vector<std::string> Side::reload(config::Config fresh) {
@@ -75,38 +78,39 @@
   return keys;
 }
 
-void Side::learnKnown() {
+void Side::applyKnownList() {
   std::string why;
   const auto list = config_.known.empty() ? std::nullopt : readNodeList(config_.known, config_.zones, why);
   if (!list && !config_.known.empty()) throw config::ConfigError("key known: " + why);
   if (list) generation_ = list->generation;
-  tell(list.value_or(NodeList{}), ListNews::Scope::initial);
+  applyList(list.value_or(NodeList{}), ListNews::Scope::initial);
 }
 
-void Side::tell(const NodeList& list, ListNews::Scope scope) {
+void Side::applyList(const NodeList& list, ListNews::Scope scope) {
   log_.line("discovery.list", "generation=" + std::to_string(list.generation) + " entries=" +
                                   std::to_string(list.entries.size()) + (list.full ? " full" : ""));
-  tell(directory_.apply(list, scope));
+  publish(directory_.apply(list, scope));
 }
 
-void Side::tell(ListNews news) {
+void Side::publish(ListNews update) {
   applyLimits();
-  broker_.told(std::move(news));  // first: nothing new goes to nodes whose connections are about to end
+  broker_.told(std::move(update));  // first, so that no attempt starts on a connection about to be closed
   pool_.listChanged();
-  lookForHolders();
+  updateShardsWithoutHolder();
 }
 
-// The operators' choice may take the last holder out: that is done, and they are told what it means.
-void Side::lookForHolders() {
-  const auto& s = config_.terms.settings;
-  auto now = directory_.shardsWithoutHolder(s.shards, s.cells, s.reach);
-  if (now == unserved_) return;
-  unserved_ = std::move(now);
-  std::vector<int> named(unserved_.begin(),
-                         unserved_.begin() + std::min(std::ssize(unserved_), std::ptrdiff_t{kNamed}));
+// Operators may take the last holder of a shard out of service: the call is carried out, and the log says
+// which shards have no holder as a result.
+void Side::updateShardsWithoutHolder() {
+  const auto& settings = config_.terms.settings;
+  auto unserved = directory_.shardsWithoutHolder(settings.shards, settings.cells, settings.reach);
+  if (unserved == unserved_) return;
+  unserved_ = std::move(unserved);
+  std::vector<int> logged(unserved_.begin(), unserved_.begin() + std::min(std::ssize(unserved_),
+                                                                          std::ptrdiff_t{kMaxLoggedShards}));
   log_.line("operation.shards_without_holder",
-            fmt::format("{} of {}: {}{}", unserved_.size(), s.shards, fmt::join(named, ","),
-                        named.size() < unserved_.size() ? ",..." : ""));
+            fmt::format("{} of {}: {}{}", unserved_.size(), settings.shards, fmt::join(logged, ","),
+                        logged.size() < unserved_.size() ? ",..." : ""));
 }
 
 }  // namespace topazweir::platform
--- a/src/platform/side.hpp
+++ b/src/platform/side.hpp
@@ -1,4 +1,4 @@
-// The platform's part, wired together: discovery, the nodes, the core and the front.
+// The platform service: wires together discovery, the connections to nodes, the broker and the HTTP front.
 #pragma once
 
 #include <functional>
@@ -16,23 +16,24 @@
 
 namespace topazweir::platform {
 
-// What day-to-day operation lays over the platform's part. The defaults: nothing.
+// Hooks and limits that day-to-day operation adds to the service. By default there are none.
 struct Operated {
-  const operation::Holds* holds = nullptr;  // leafs out of service; must outlive the part
-  // Called with each attempt: the leaf, and when it started.
+  const operation::Holds* holds = nullptr;  // leafs out of service; must outlive the service
+  // Called with each attempt: the leaf, and when its process started.
   std::function<void(const std::string& instance, Nanos startedAt)> sent;
-  std::optional<int> listener;  // descriptor of the clients' listening socket
-  bool accepts = true;          // clients, from the start
-  std::size_t setApart = 0;     // descriptors for operators' calls
+  std::optional<int> listener;  // inherited descriptor of the clients' listening socket
+  bool accepts = true;          // whether clients are accepted from the start
+  std::size_t setApart = 0;     // descriptors reserved for operators' calls
 };
 
 class Side {
  public:
-  // `counters`: what GET /counters shows, of the whole program.
+  // `counters`: the body of GET /counters, for the whole program. Throws config::ConfigError if the list
+  // under the key `known` cannot be read.
   Side(net::Loop& loop, broker::Log& log, config::Config config, std::function<std::string()> counters,
        Operated operated = {});
 
-  // What can change while it serves is applied; returned are the keys that wait for a restart.
+  // Applies what can change at run time; returns the keys that need a restart.
   std::vector<std::string> reload(config::Config fresh);
 
   const config::Config& config() const { return config_; }
@@ -41,35 +42,39 @@
   const Directory& directory() const { return directory_; }
   const NodePool& pool() const { return pool_; }
   NodePool& pool() { return pool_; }
-  // After operators have taken leafs out or back.
+  // To be called after operators have taken leafs out of service or put them back.
   void moved(const std::vector<std::string>& instances);
-  // Another process of this aggregator has sent to a leaf, under the ceiling that this one stands under.
+  // Another process of this aggregator has sent to a leaf; counts against the slow-start limit that both
+  // processes share.
   void sentElsewhere(const std::string& instance, Nanos at);
-  // So many aggregators send to the same nodes.
+  // Sets how many aggregators send to the same nodes, and this one's index among them.
   void fleet(int aggregators, int number) { broker_.fleet(aggregators, number); }
-  // The process ends: all that is open then has its final answer by that time.
+  // The process shuts down: all open requests have their final answer by then.
   void endBy(Nanos at) { broker_.endBy(at); }
-  // Another process of this aggregator is there: each keeps to half of the descriptors.
+  // Whether another process of this aggregator runs beside this one: each then keeps to half of the
+  // descriptors.
   void share(bool shared);
-  // Shards that no node serves, whoever has taken the last one out.
+  // Shards that no node serves, whether by discovery's list or because operators took the last holder out.
   const std::vector<int>& unserved() const { return unserved_; }
-  bool listTold() const { return listTold_; }  // by discovery
+  bool listTold() const { return listReceived_; }  // discovery has sent a list
+  // The current list of nodes in discovery's format.
   std::string list() const { return directory_.text(generation_, config_.zones); }
+  // No request is open and nothing is left to be written to clients.
   bool quiet() const { return broker_.open() == 0 && front_->server().quiet(); }
 
  private:
-  DescriptorShares shares() const;
+  DescriptorShares descriptorShares() const;
   NodePool::Options poolOptions() const;
   void applyLimits();
-  void learnKnown();
-  void tell(const NodeList& list, ListNews::Scope scope);
-  void tell(ListNews news);
-  void lookForHolders();
+  void applyKnownList();
+  void applyList(const NodeList& list, ListNews::Scope scope);
+  void publish(ListNews update);
+  void updateShardsWithoutHolder();
 
-  // The pool, and a note of what is sent.
-  class Noting : public broker::Backend {
+  // Passes attempts on to the pool, and reports each one to the hook `Operated::sent`.
+  class ReportingBackend : public broker::Backend {
    public:
-    explicit Noting(Side& side) : side_(side) {}
+    explicit ReportingBackend(Side& side) : side_(side) {}
     void start(broker::AttemptOrder order) override;
     void cancel(const broker::AttemptId& id) override { side_.pool_.cancel(id); }
 
@@ -80,11 +85,12 @@
   broker::Log& log_;
   config::Config config_;
   Operated operated_;
-  bool listTold_ = false, shared_ = false;  // before the pool, whose limits they are asked for
+  bool listReceived_ = false;
+  bool shared_ = false;  // declared before pool_, whose options depend on it
   net::LoopClock clock_;
   Directory directory_;
   NodePool pool_;
-  Noting noting_{*this};
+  ReportingBackend reportingBackend_{*this};
   broker::Broker broker_;
   std::optional<Discovery> discovery_;
   std::optional<PlatformFront> front_;
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -1,5 +1,5 @@
-// The real program as it is started in service: a stand-in node and discovery, then SIGTERM with a query
-// open.
+// The real program with a fake node and a fake discovery service: shutdown on SIGTERM with a query open,
+// reload on SIGHUP, and hedged requests to discovery. Also the discovery client alone against a fake service.
 #include <signal.h>
 #include <sys/prctl.h>
 #include <sys/wait.h>
@@ -30,17 +30,19 @@
     child_ = ::fork();
     CHECK(child_ >= 0);
     if (child_ > 0) return;
-    ::prctl(PR_SET_PDEATHSIG, SIGKILL);  // a check that fails must not leave it behind
+    ::prctl(PR_SET_PDEATHSIG, SIGKILL);  // a failed check must not leave the child running
     ::setenv("NODE_CONFIG", config.c_str(), 1);
     ::unsetenv("NODE_LISTEN");
     ::execl(path, path, static_cast<char*>(nullptr));
     std::_Exit(127);
   }
   ~Program() {
-    if (child_ > 0 && !over_) ::kill(child_, SIGKILL), ::waitpid(child_, nullptr, 0);
+    if (child_ <= 0 || over_) return;
+    ::kill(child_, SIGKILL);
+    ::waitpid(child_, nullptr, 0);
   }
   void terminate() { ::kill(child_, SIGTERM); }
-  void reread() { ::kill(child_, SIGHUP); }
+  void reload() { ::kill(child_, SIGHUP); }
   // The exit code; none while it runs.
   std::optional<int> exited() {
     int status = 0;
@@ -62,7 +64,7 @@
          "\r\nReq-Deadline: 3\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-int ask(const std::string& address, const std::string& request) {
+int statusOf(const std::string& address, const std::string& request) {
   net::Loop loop;
   Client client(loop, address, request);
   const auto limit = loop.after(5000 * kMs, [&] { loop.stop(); });
@@ -71,7 +73,7 @@
   return client.status;
 }
 
-void run(const char* path) {
+void drainsOnSigterm(const char* path) {
   net::Loop loop;
   NodeSpeaker speaker;
   StandIn node(loop, speaker, Fault::slow);
@@ -88,15 +90,17 @@
   int up = 0;
   for (int i = 0; i < 200 && up != 200; ++i) {
     ::usleep(25'000);
-    up = ask(listen, get("/up"));
+    up = statusOf(listen, get("/up"));
   }
   CHECK(up == 200);
-  CHECK(ask(listen, get("/counters")) == 200 && ask(listen, get("/none")) == 405);
-  CHECK(ask(listen, "nonsense\r\n\r\n") == 400);
+  CHECK(statusOf(listen, get("/counters")) == 200 && statusOf(listen, get("/none")) == 405);
+  CHECK(statusOf(listen, "nonsense\r\n\r\n") == 400);
 
-  // A query is open at the node when SIGTERM comes: it is finished. One that comes just after is taken, too.
+  // A query that is open at the node when SIGTERM arrives is finished. One that arrives just after is
+  // accepted, too.
   Client open(loop, listen, query("q1"));
-  std::unique_ptr<Client> late, state;
+  std::unique_ptr<Client> late;
+  std::unique_ptr<Client> state;
   loop.after(100 * kMs, [&] { program.terminate(); });
   loop.after(300 * kMs, [&] {
     late = std::make_unique<Client>(loop, listen, query("q2"));
@@ -105,34 +109,38 @@
   });
   bool finished = false;
   const auto limit = loop.after(8000 * kMs, [&] { loop.stop(); });
-  std::function<void()> look = [&] {
+  std::function<void()> check = [&] {
     finished = open.done() && late && late->done() && state->done();
-    finished ? loop.stop() : static_cast<void>(loop.after(10 * kMs, look));
+    finished ? loop.stop() : static_cast<void>(loop.after(10 * kMs, check));
   };
-  look();
+  check();
   open.stopsLoop = false;
   loop.run();
   loop.cancel(limit);
   CHECK(finished && open.status == 200 && late->status == 200 && state->status == 503);
-  CHECK(open.keeps && state->keeps);  // clients are not made to connect anew while they are still accepted
+  CHECK(open.keeps && state->keeps);  // connections are kept alive as long as clients are accepted
   std::optional<int> code;
-  for (int i = 0; i < 400 && !code; ++i) ::usleep(10'000), code = program.exited();
+  for (int i = 0; i < 400 && !code; ++i) {
+    ::usleep(10'000);
+    code = program.exited();
+  }
   CHECK(code == 0);
 }
 
-// SIGHUP moves discovery to the address that the file now names, whatever the generation there; a faulty file
-// changes nothing; SIGTERM still ends the program in order. The first agent knows no node, the second one
-// does.
-void rereadsItsConfiguration(const char* path) {
+// SIGHUP moves discovery to the address that the file now names, whatever generation the lists there have; an
+// invalid file changes nothing; SIGTERM still shuts the program down gracefully. The first agent knows no
+// node, the second one does.
+void reloadsItsConfiguration(const char* path) {
   net::Loop loop;
   NodeSpeaker nodes;
   StandIn node(loop, nodes, Fault::none);
-  AgentSpeaker bare, knowing;
-  bare.list = R"({"generation":9,"reset":true,"instances":[]})";
-  knowing.list =
+  AgentSpeaker emptyAgent;
+  AgentSpeaker nodeAgent;
+  emptyAgent.list = R"({"generation":9,"reset":true,"instances":[]})";
+  nodeAgent.list =
       R"({"generation":3,"reset":true,"instances":[{"instanceId":"s","hostPort":")" + node.address() +
       R"(","zone":"a","machineType":"m","cell":0,"lifecycle":"Ready","weight":1,"startedAtMs":0}]})";
-  StandIn first(loop, bare, Fault::none), second(loop, knowing, Fault::none);
+  StandIn first(loop, emptyAgent, Fault::none), second(loop, nodeAgent, Fault::none);
   const std::string listen = freeAddress();
   const std::string file = scratchFile("reread_test.json");
   const auto write = [&](const std::string& discovery, const std::string& sockets) {
@@ -143,14 +151,14 @@
   };
   write(first.address(), "300");
   Program program(path, file);
-  // The steps, one after the other, each again and again until it holds: one loop runs the stand-ins and
-  // these.
+  // The steps run one after the other, each repeated until it holds. They share the loop with the fake
+  // servers.
   std::unique_ptr<Client> client;
-  const auto says = [&](const std::string& request, int status) {
+  const auto answers = [&](const std::string& request, int status) {
     if (client && !client->done()) return false;
-    const bool good = client && client->status == status;
+    const bool matches = client && client->status == status;
     client.reset();
-    if (good) return true;
+    if (matches) return true;
     client = std::make_unique<Client>(loop, listen, request);
     client->stopsLoop = false;
     return false;
@@ -158,38 +166,41 @@
   const auto configure = [&](const std::string& discovery, const std::string& sockets) {
     return [&, discovery, sockets] {
       write(discovery, sockets);
-      program.reread();
+      program.reload();
       return true;
     };
   };
-  const auto serves = [&] { return says(get("/up"), 200); };
-  const auto refuses = [&] { return says(query("q1"), 503); };
+  const auto serves = [&] { return answers(get("/up"), 200); };
+  const auto refuses = [&] { return answers(query("q1"), 503); };
   std::vector<std::function<bool()>> steps{serves, [&] { return first.requests() == 1; }, refuses};
   for (const auto* sockets : {"0", "[]", "}"}) {
     steps.push_back(configure(second.address(), sockets));
     steps.insert(steps.end(), {serves, serves, refuses, [&] { return second.requests() == 0; }});
   }
   steps.insert(steps.end(), {configure("999.0.0.1:1", "300"), serves, serves});
-  for (int i = 0; i < 3; ++i)  // any number of times: nothing has changed from the second on
+  for (int i = 0; i < 3; ++i)  // repeated reloads: nothing changes from the second on
     steps.insert(steps.end(), {configure(second.address(), "300"), serves, serves});
-  steps.push_back([&] { return says(query("q2"), 200); });
+  steps.push_back([&] { return answers(query("q2"), 200); });
   std::size_t step = 0;
-  const std::function<void()> go = [&] {
+  const std::function<void()> runStep = [&] {
     if (steps[step]()) ++step;
-    step == steps.size() ? loop.stop() : static_cast<void>(loop.after(30 * kMs, go));
+    step == steps.size() ? loop.stop() : static_cast<void>(loop.after(30 * kMs, runStep));
   };
-  loop.after(0, go);
+  loop.after(0, runStep);
   loop.after(20'000 * kMs, [&] { loop.stop(); });
   loop.run();
   CHECK(step == steps.size() && second.requests() == 1 && first.requests() == 1);
-  program.reread();
+  program.reload();
   program.terminate();
   std::optional<int> code;
-  for (int i = 0; i < 400 && !code; ++i) ::usleep(10'000), code = program.exited();
+  for (int i = 0; i < 400 && !code; ++i) {
+    ::usleep(10'000);
+    code = program.exited();
+  }
   CHECK(code == 0);
 }
 
-// ---- discovery that lets calls wait: an older call keeps its place beside the next ----
+// ---- discovery that leaves requests waiting: an older request keeps its place beside the next ----
 
 std::string list(int generation, const std::string& leaf = "10.0.0.1:1") {
   return R"({"generation":)" + std::to_string(generation) +
@@ -198,19 +209,19 @@
          "\n";
 }
 
-// Discovery that says only what the test says. A call is what has come on one connection.
-class Holder {
+// A fake discovery service that sends only what the test sends. One request for each connection.
+class HoldingAgent {
  public:
-  struct Call {
+  struct Request {
     Poco::Net::StreamSocket socket;
     std::string text;
     bool open = true;
-    bool asked() const { return text.ends_with("\r\n\r\n"); }
-    void say(const std::string& bytes) {
+    bool complete() const { return text.ends_with("\r\n\r\n"); }
+    void send(const std::string& bytes) {
       socket.sendBytes(bytes.data(), static_cast<int>(bytes.size()), MSG_NOSIGNAL);
     }
-    void begin(const std::string& body) {
-      say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(body));
+    void startResponse(const std::string& body) {
+      send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(body));
     }
     static std::string chunk(const std::string& body) {
       std::array<char, 16> size{};
@@ -218,185 +229,190 @@
       return size.data() + body + "\r\n";
     }
   };
-  std::vector<Call> calls;
+  std::vector<Request> requests;
   std::string address() const { return listener_.address().toString(); }
   std::size_t open() const {
-    return static_cast<std::size_t>(std::ranges::count_if(calls, [](const auto& c) { return c.open; }));
+    return static_cast<std::size_t>(std::ranges::count_if(requests, [](const auto& c) { return c.open; }));
   }
-  // Takes what has come; more than two open calls are a fault at any time.
-  void look() {
+  // Reads what has arrived; fails the test if more than two requests are open.
+  void poll() {
     while (listener_.poll(Poco::Timespan(0), Poco::Net::Socket::SELECT_READ))
-      calls.push_back({listener_.acceptConnection(), {}});
-    for (auto& call : calls)
-      while (call.open && call.socket.poll(Poco::Timespan(0), Poco::Net::Socket::SELECT_READ)) {
+      requests.push_back({listener_.acceptConnection(), {}});
+    for (auto& request : requests)
+      while (request.open && request.socket.poll(Poco::Timespan(0), Poco::Net::Socket::SELECT_READ)) {
         std::array<char, 4096> bytes{};
         int got = 0;
         try {
-          got = call.socket.receiveBytes(bytes.data(), bytes.size());
+          got = request.socket.receiveBytes(bytes.data(), bytes.size());
         } catch (const Poco::Exception&) {  // reset
         }
-        got > 0 ? static_cast<void>(call.text.append(bytes.data(), static_cast<std::size_t>(got)))
-                : static_cast<void>(call.open = false);
+        got > 0 ? static_cast<void>(request.text.append(bytes.data(), static_cast<std::size_t>(got)))
+                : static_cast<void>(request.open = false);
       }
     CHECK(open() <= 2);
   }
-  bool asked(std::size_t count) const { return calls.size() >= count && calls[count - 1].asked(); }
-  void hangUp(std::size_t call, bool reset) {
-    if (reset) calls[call].socket.setLinger(true, 0);
-    calls[call].socket.close();
-    calls[call].open = false;
+  bool received(std::size_t count) const {
+    return requests.size() >= count && requests[count - 1].complete();
+  }
+  void close(std::size_t request, bool reset) {
+    if (reset) requests[request].socket.setLinger(true, 0);
+    requests[request].socket.close();
+    requests[request].open = false;
   }
 
  private:
   Poco::Net::ServerSocket listener_{Poco::Net::SocketAddress("127.0.0.1", 0)};
 };
 
-struct HeldWorld : Stage {
-  std::string lines;
+struct DiscoveryFixture : Stage {
+  std::string lines;  // of the log
   broker::Log log{[this](auto event, auto text) { lines.append(event).append(" ").append(text) += '\n'; },
                   [] { return Nanos{0}; }};
-  Holder agent;
-  std::vector<std::int64_t> told;
+  HoldingAgent agent;
+  std::vector<std::int64_t> generations;  // of the lists received
   platform::Discovery discovery{loop,
                                 log,
                                 Poco::Net::SocketAddress(agent.address()),
                                 {"a"},
                                 0,
                                 platform::RetryPace(1, false, 1),
-                                [this](const auto& l) { told.push_back(l.generation); }};
+                                [this](const auto& l) { generations.push_back(l.generation); }};
   void await(const std::string& what, const std::function<bool()>& holds) {
-    const auto look = [&] {
-      agent.look();
+    const auto pollAndCheck = [&] {
+      agent.poll();
       return holds();
     };
-    until(what, look, 20'000 * kMs);  // less than the time for which a call keeps its place
+    until(what, pollAndCheck, 20'000 * kMs);  // less than the time for which a request is kept
   }
-  // The first call is held, and the next one has been made beside it.
-  void hold() {
-    await("a second call", [&] { return agent.asked(2); });
-    CHECK(agent.calls[0].open && agent.calls[0].asked() && told.empty());
+  // Waits until the first request has been left unanswered and the next one has been sent beside it.
+  void awaitHedge() {
+    await("a second request", [&] { return agent.received(2); });
+    CHECK(agent.requests[0].open && agent.requests[0].complete() && generations.empty());
     CHECK(lines.find("discovery.hedged") != std::string::npos);
   }
-  // Every call but the first is answered as soon as it is there, until one has been in time.
-  void answerTheNext(int generation) {
+  // Answers every request but the first as soon as it arrives, until one was answered in time.
+  void answerLaterRequests(int generation) {
     std::size_t answered = 1;
     await("a list", [&] {
-      for (; agent.asked(answered + 1); ++answered) {
-        CHECK(agent.calls[0].open || told.size() > 0 || firstMayEnd);
-        if (agent.calls[answered].open) agent.calls[answered].begin(list(generation));
+      for (; agent.received(answered + 1); ++answered) {
+        CHECK(agent.requests[0].open || generations.size() > 0 || firstMayClose);
+        if (agent.requests[answered].open) agent.requests[answered].startResponse(list(generation));
       }
-      return !told.empty();
+      return !generations.empty();
     });
   }
-  bool firstMayEnd = false;
+  bool firstMayClose = false;
 };
 
-void held(const std::function<void(HeldWorld&)>& body) {
-  HeldWorld world;
-  world.play([&] { body(world); });
+void withFixture(const std::function<void(DiscoveryFixture&)>& body) {
+  DiscoveryFixture fixture;
+  fixture.play([&] { body(fixture); });
 }
 
-// The first call is held for ever: whichever is answered becomes the watch, the other one is dropped, and
-// nothing of it is heard.
-void theNextCallIsAnswered(HeldWorld& w) {
-  w.hold();
-  w.answerTheNext(5);
-  w.await("the first call's end", [&] { return !w.agent.calls[0].open && w.agent.open() == 1; });
-  CHECK(w.told == std::vector<std::int64_t>{5});
-  const auto watch = static_cast<std::size_t>(
-      std::ranges::find_if(w.agent.calls, [](const auto& c) { return c.open; }) - w.agent.calls.begin());
-  w.agent.calls[watch].say(Holder::Call::chunk(list(6)));
-  w.await("the watch's next list", [&] { return w.told.size() == 2; });
-  CHECK(w.told.back() == 6);
-  // Silent from now on: it is opened anew, and is not kept, for it has no place in a queue.
-  const auto calls = w.agent.calls.size();
-  w.await("a new watch", [&] { return w.agent.asked(calls + 1); });
-  CHECK(!w.agent.calls[watch].open && w.agent.calls[calls].text.find("from=6 ") != std::string::npos);
+// The first request is never answered: the one that is answered becomes the watch, the other one is closed,
+// and nothing from it is used.
+void laterRequestIsAnswered(DiscoveryFixture& w) {
+  w.awaitHedge();
+  w.answerLaterRequests(5);
+  w.await("the end of the first request", [&] { return !w.agent.requests[0].open && w.agent.open() == 1; });
+  CHECK(w.generations == std::vector<std::int64_t>{5});
+  const auto watch =
+      static_cast<std::size_t>(std::ranges::find_if(w.agent.requests, [](const auto& c) { return c.open; }) -
+                               w.agent.requests.begin());
+  w.agent.requests[watch].send(HoldingAgent::Request::chunk(list(6)));
+  w.await("the watch's next list", [&] { return w.generations.size() == 2; });
+  CHECK(w.generations.back() == 6);
+  // Unresponsive from now on: the watch is opened again, and the old one is not kept, as it has no place in a
+  // queue.
+  const auto requestCount = w.agent.requests.size();
+  w.await("a new watch", [&] { return w.agent.received(requestCount + 1); });
+  CHECK(!w.agent.requests[watch].open &&
+        w.agent.requests[requestCount].text.find("from=6 ") != std::string::npos);
 }
 
-void theFirstCallIsAnsweredLate(HeldWorld& w, const std::string& word) {
-  w.hold();
-  w.agent.calls[0].begin(word);
-  w.await("the next call's end", [&] { return w.agent.open() == 1; });
-  CHECK(w.agent.calls[0].open);
-  w.agent.calls[0].say(Holder::Call::chunk(list(7)));
-  w.await("the list", [&] { return !w.told.empty() && w.told.back() == 7; });
-  const auto calls = w.agent.calls.size();
-  w.agent.hangUp(0, false);
-  w.await("a new watch", [&] { return w.agent.asked(calls + 1); });
-  CHECK(w.agent.calls[calls].text.find("from=7 ") != std::string::npos);
+void firstRequestIsAnsweredLate(DiscoveryFixture& w, const std::string& body) {
+  w.awaitHedge();
+  w.agent.requests[0].startResponse(body);
+  w.await("the end of the later request", [&] { return w.agent.open() == 1; });
+  CHECK(w.agent.requests[0].open);
+  w.agent.requests[0].send(HoldingAgent::Request::chunk(list(7)));
+  w.await("the list", [&] { return !w.generations.empty() && w.generations.back() == 7; });
+  const auto requestCount = w.agent.requests.size();
+  w.agent.close(0, false);
+  w.await("a new watch", [&] { return w.agent.received(requestCount + 1); });
+  CHECK(w.agent.requests[requestCount].text.find("from=7 ") != std::string::npos);
 }
 
-// Both answer in the same moment: one list is told.
-void bothAnswer(HeldWorld& w) {
-  w.hold();
+// Both are answered at the same time: only one list is used.
+void bothAreAnswered(DiscoveryFixture& w) {
+  w.awaitHedge();
   std::size_t answered = 1;
   bool first = false;
   w.await("a list", [&] {
-    for (; w.agent.asked(answered + 1); ++answered)
-      if (w.agent.calls[answered].open) w.agent.calls[answered].begin(list(9));
-    if (!std::exchange(first, true)) w.agent.calls[0].begin(list(8));
-    return !w.told.empty();
+    for (; w.agent.received(answered + 1); ++answered)
+      if (w.agent.requests[answered].open) w.agent.requests[answered].startResponse(list(9));
+    if (!std::exchange(first, true)) w.agent.requests[0].startResponse(list(8));
+    return !w.generations.empty();
   });
-  w.await("the other one's end", [&] { return w.agent.open() == 1; });
-  CHECK(w.told.size() == 1);
+  w.await("the end of the other request", [&] { return w.agent.open() == 1; });
+  CHECK(w.generations.size() == 1);
 }
 
-// Neither is answered: the older one stays, the younger one makes way for the next, never a third beside
-// them.
-void theOldestStays(HeldWorld& w) {
-  w.await("a fourth call", [&] { return w.agent.asked(4); });
-  CHECK(w.agent.calls[0].open && !w.agent.calls[1].open && !w.agent.calls[2].open);
-  w.answerTheNext(5);
-  w.await("one open call", [&] { return w.agent.open() == 1; });
-  CHECK(!w.agent.calls[0].open);
+// Neither is answered: the oldest one is kept, the newer one is replaced by the next, and there is never a
+// third.
+void oldestRequestIsKept(DiscoveryFixture& w) {
+  w.await("a fourth request", [&] { return w.agent.received(4); });
+  CHECK(w.agent.requests[0].open && !w.agent.requests[1].open && !w.agent.requests[2].open);
+  w.answerLaterRequests(5);
+  w.await("one open request", [&] { return w.agent.open() == 1; });
+  CHECK(!w.agent.requests[0].open);
 }
 
-// Whatever ends the first call, the one beside it goes on, and the next that is late keeps its place.
-void theFirstCallEnds(HeldWorld& w, const std::function<void(Holder&)>& how) {
-  w.hold();
+// However the first request fails, the one beside it continues, and the next that is late is kept.
+void firstRequestFails(DiscoveryFixture& w, const std::function<void(HoldingAgent&)>& how) {
+  w.awaitHedge();
   how(w.agent);
   w.await("its end", [&] { return w.lines.find("discovery.lost") != std::string::npos; });
-  const auto calls = w.agent.calls.size();
-  w.await("a call that keeps its place", [&] {
+  const auto requestCount = w.agent.requests.size();
+  w.await("a second hedge", [&] {
     const auto hedged = w.lines.find("discovery.hedged");
     return w.lines.find("discovery.hedged", hedged + 1) != std::string::npos;
   });
-  w.await("a call beside it", [&] { return w.agent.asked(calls + 1) && w.agent.open() == 2; });
-  w.firstMayEnd = true;
-  w.answerTheNext(5);
+  w.await("a request beside it", [&] { return w.agent.received(requestCount + 1) && w.agent.open() == 2; });
+  w.firstMayClose = true;
+  w.answerLaterRequests(5);
 }
 
-// Half a list keeps its place, and no more: a whole one from beside it wins.
-void halfAListWaits(HeldWorld& w) {
-  w.hold();
-  w.agent.calls[0].begin(list(4).substr(0, 20));
-  w.answerTheNext(5);
-  w.await("the first call's end", [&] { return w.agent.open() == 1; });
-  CHECK(w.told == std::vector<std::int64_t>{5});
+// With an incomplete list the first request is only kept: a complete list from the later one wins.
+void incompleteListDoesNotWin(DiscoveryFixture& w) {
+  w.awaitHedge();
+  w.agent.requests[0].startResponse(list(4).substr(0, 20));
+  w.answerLaterRequests(5);
+  w.await("the end of the first request", [&] { return w.agent.open() == 1; });
+  CHECK(w.generations == std::vector<std::int64_t>{5});
 }
 
-void bothAreDroppedByAMove(HeldWorld& w) {
-  w.hold();
-  Holder elsewhere;
-  w.discovery.moveTo(Poco::Net::SocketAddress(elsewhere.address()));
-  w.await("the old calls' end", [&] { return w.agent.open() == 0; });
-  const auto calls = w.agent.calls.size();
-  w.await("a call elsewhere", [&] {
-    elsewhere.look();
-    return elsewhere.asked(1);
+void moveClosesBoth(DiscoveryFixture& w) {
+  w.awaitHedge();
+  HoldingAgent newAgent;
+  w.discovery.moveTo(Poco::Net::SocketAddress(newAgent.address()));
+  w.await("the end of the old requests", [&] { return w.agent.open() == 0; });
+  const auto requestCount = w.agent.requests.size();
+  w.await("a request at the new address", [&] {
+    newAgent.poll();
+    return newAgent.received(1);
   });
-  elsewhere.calls[0].begin(list(3));
-  w.await("the list", [&] { return !w.told.empty(); });
-  CHECK(w.told == std::vector<std::int64_t>{3} && w.agent.calls.size() == calls);
+  newAgent.requests[0].startResponse(list(3));
+  w.await("the list", [&] { return !w.generations.empty(); });
+  CHECK(w.generations == std::vector<std::int64_t>{3} && w.agent.requests.size() == requestCount);
 }
 
-// The real program: it serves by the list that the second call brings.
-void servesByTheSecondCall(const char* path) {
+// The real program serves with the list that a later request brings.
+void servesByTheHedgedRequest(const char* path) {
   Stage stage;
   NodeSpeaker nodes;
   StandIn node(stage.loop, nodes, Fault::none);
-  Holder agent;
+  HoldingAgent agent;
   const std::string listen = freeAddress(), file = scratchFile("held_test.json");
   std::ofstream(file)
       << R"({"listen":")" << listen << R"(","discovery":")" << agent.address()
@@ -411,17 +427,17 @@
       client.stopsLoop = false;
       stage.until("an answer", [&] {
         CHECK(!program.exited());
-        agent.look();
-        for (; agent.asked(answered + 1); ++answered)
-          if (agent.calls[answered].open) agent.calls[answered].begin(list(2, node.address()));
+        agent.poll();
+        for (; agent.received(answered + 1); ++answered)
+          if (agent.requests[answered].open) agent.requests[answered].startResponse(list(2, node.address()));
         return client.done();
       });
       status = client.status;
     }
     CHECK(answered > 1);
-    stage.until("the first call's end", [&] {
-      agent.look();
-      return !agent.calls[0].open;
+    stage.until("the end of the first request", [&] {
+      agent.poll();
+      return !agent.requests[0].open;
     });
     program.terminate();
     std::optional<int> code;
@@ -430,25 +446,31 @@
   });
 }
 
-void callsThatAreHeld() {
-  held(theNextCallIsAnswered);
-  held([](HeldWorld& w) { theFirstCallIsAnsweredLate(w, list(7)); });
-  held([](HeldWorld& w) { theFirstCallIsAnsweredLate(w, "\n"); });  // nothing new: that is an answer, too
-  held(bothAnswer);
-  held(theOldestStays);
-  held([](HeldWorld& w) { theFirstCallEnds(w, [](Holder& agent) { agent.hangUp(0, false); }); });
-  held([](HeldWorld& w) { theFirstCallEnds(w, [](Holder& agent) { agent.hangUp(0, true); }); });
-  held([](HeldWorld& w) {
-    theFirstCallEnds(
-        w, [](Holder& agent) { agent.calls[0].say("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"); });
+void hedgedRequests() {
+  withFixture(laterRequestIsAnswered);
+  withFixture([](DiscoveryFixture& w) { firstRequestIsAnsweredLate(w, list(7)); });
+  // Whitespace, which says that there is no newer list, is an answer, too.
+  withFixture([](DiscoveryFixture& w) { firstRequestIsAnsweredLate(w, "\n"); });
+  withFixture(bothAreAnswered);
+  withFixture(oldestRequestIsKept);
+  withFixture(
+      [](DiscoveryFixture& w) { firstRequestFails(w, [](HoldingAgent& agent) { agent.close(0, false); }); });
+  withFixture(
+      [](DiscoveryFixture& w) { firstRequestFails(w, [](HoldingAgent& agent) { agent.close(0, true); }); });
+  withFixture([](DiscoveryFixture& w) {
+    firstRequestFails(w, [](HoldingAgent& agent) {
+      agent.requests[0].send("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
+    });
+  });
+  withFixture([](DiscoveryFixture& w) {
+    firstRequestFails(w, [](HoldingAgent& agent) { agent.requests[0].startResponse("x"); });
   });
-  held([](HeldWorld& w) { theFirstCallEnds(w, [](Holder& agent) { agent.calls[0].begin("x"); }); });
-  held(halfAListWaits);
-  held(bothAreDroppedByAMove);
+  withFixture(incompleteListDoesNotWin);
+  withFixture(moveClosesBoth);
 }
 
-// Guards against a reactor that spins: Poco keeps polling for writable after its observer has gone.
-void idleLoopRests() {
+// The event loop must not spin: Poco keeps polling for writable after its observer has been removed.
+void idleLoopDoesNotSpin() {
   net::Loop loop;
   NodeSpeaker speaker;
   StandIn node(loop, speaker, Fault::none);
@@ -464,9 +486,9 @@
 }  // namespace topazweir::test
 
 int main(int, char** words) {
-  topazweir::test::idleLoopRests();
-  topazweir::test::callsThatAreHeld();
-  topazweir::test::servesByTheSecondCall(words[1]);
-  topazweir::test::run(words[1]);
-  topazweir::test::rereadsItsConfiguration(words[1]);
+  topazweir::test::idleLoopDoesNotSpin();
+  topazweir::test::hedgedRequests();
+  topazweir::test::servesByTheHedgedRequest(words[1]);
+  topazweir::test::drainsOnSigterm(words[1]);
+  topazweir::test::reloadsItsConfiguration(words[1]);
 }
--- a/tests/retry_pace_test.cpp
+++ b/tests/retry_pace_test.cpp
@@ -1,4 +1,6 @@
-// Many aggregators lose their watch of the list at once: the one service that they all ask must get over it.
+// Retry policy of the discovery client. When many aggregators lose their watch at once, their
+// requests must not keep the one service that they all ask overloaded, and each must still have its list by
+// the deadline.
 #include "platform/retry_pace.hpp"
 
 #include <algorithm>
@@ -15,200 +17,216 @@
 
 constexpr Nanos kMs = 1'000'000;
 
-// A service that answers one call in so long, in turn; one that has waited too long in its queue is refused,
-// and one that its caller has given up on is served all the same.
+// A service that answers one request at a time, in order. It refuses a request that would wait too long in
+// its queue, and works off one whose client has given up all the same.
 struct Service {
-  Nanos each = 50 * kMs, longest = 2000 * kMs;
-  Nanos free = 0;
+  Nanos serviceTime = 50 * kMs;
+  Nanos maxQueueTime = 2000 * kMs;
+  Nanos freeAt = 0;
   // When the answer comes, and whether it is the list.
-  std::pair<Nanos, bool> call(Nanos now) {
-    const Nanos at = std::max(now, free) + each;
-    if (at - now > longest) return {now + longest, false};
-    free = at;
+  std::pair<Nanos, bool> request(Nanos now) {
+    const Nanos at = std::max(now, freeAt) + serviceTime;
+    if (at - now > maxQueueTime) return {now + maxQueueTime, false};
+    freeAt = at;
     return {at, true};
   }
 };
 
 struct Result {
-  int calls = 0, listed = 0, mostInASecond = 0;
-  Nanos last = 0;  // after discovery could be reached
+  int requests = 0;
+  int listed = 0;  // clients that have their list
+  int maxPerSecond = 0;
+  Nanos lastListAfter = 0;  // time of the last list, counted from when discovery could be reached
 };
 
-// All lose their watch at 0, and nobody answers until `up`; returns how it went until `end`.
-Result lose(int askers, Nanos end, Nanos up = 0) {
+// Simulates a number of `clients` that all lose their watch at 0, with discovery unreachable until `up`; runs
+// until `end`.
+Result simulateOutage(int clients, Nanos end, Nanos up = 0) {
   Service service;
   Result out;
   std::vector<platform::RetryPace> paces;
   std::multimap<Nanos, std::size_t> next;
-  std::map<Nanos, int> perSecond;
-  for (int i = 0; i < askers; ++i) {
-    paces.emplace_back(askers, false, 100U + static_cast<unsigned>(i));
-    paces.back().heard(0);
-    next.emplace(paces.back().next(0), static_cast<std::size_t>(i));
+  std::map<Nanos, int> requestsPerSecond;
+  for (int i = 0; i < clients; ++i) {
+    paces.emplace_back(clients, false, 100U + static_cast<unsigned>(i));
+    paces.back().recordData(0);
+    next.emplace(paces.back().nextWait(0), static_cast<std::size_t>(i));
   }
   while (!next.empty() && next.begin()->first < end) {
     const auto [now, who] = *next.begin();
     next.erase(next.begin());
     if (now < up) {
-      next.emplace(now + kMs + paces[who].next(now + kMs), who);
+      next.emplace(now + kMs + paces[who].nextWait(now + kMs), who);
       continue;
     }
-    ++out.calls;
-    out.mostInASecond = std::max(out.mostInASecond, ++perSecond[now / (1000 * kMs)]);
-    const auto [at, listed] = service.call(now);
-    const Nanos given = std::min(at, now + paces[who].patience(now));
-    if (listed && given == at) {
-      ++out.listed, out.last = std::max(out.last, at - up);
-      paces[who].succeeded();
+    ++out.requests;
+    out.maxPerSecond = std::max(out.maxPerSecond, ++requestsPerSecond[now / (1000 * kMs)]);
+    const auto [at, listed] = service.request(now);
+    const Nanos endedAt = std::min(at, now + paces[who].answerTimeout(now));
+    if (listed && endedAt == at) {
+      ++out.listed;
+      out.lastListAfter = std::max(out.lastListAfter, at - up);
+      paces[who].recordSuccess();
     } else {
-      next.emplace(given + paces[who].next(given, given == at), who);
+      next.emplace(endedAt + paces[who].nextWait(endedAt, endedAt == at), who);
     }
   }
   return out;
 }
 
-// At fixed short waits and a second's patience this service never gets over it.
-void aLargeFleetGetsItsListBack() {
-  const auto large = lose(100, 30'000 * kMs);
-  CHECK(large.listed == 100 && large.last < 12'000 * kMs);
-  CHECK(large.calls < 250);
-  const auto larger = lose(400, 120'000 * kMs);
-  CHECK(larger.listed == 400 && larger.calls < 1200);
-  CHECK(larger.last < 26'000 * kMs);  // 20 a second, and the 6 s of the last one
+// With short fixed waits and a time-out of 1 s this service would stay overloaded for ever.
+void largeFleetRecovers() {
+  const auto large = simulateOutage(100, 30'000 * kMs);
+  CHECK(large.listed == 100 && large.lastListAfter < 12'000 * kMs);
+  CHECK(large.requests < 250);
+  const auto larger = simulateOutage(400, 120'000 * kMs);
+  CHECK(larger.listed == 400 && larger.requests < 1200);
+  CHECK(larger.lastListAfter < 26'000 * kMs);  // 20 a second, and 6 s for the last one
 }
 
-// Discovery has been away for so long that all waits have grown: a fleet of 100, that it can serve in 5 s at
-// 20 a second, has its list in 6 s; to larger ones at most 6 s are lost.
-void oneThatComesBackIsAskedInTime() {
-  for (const int askers : {1, 3, 20, 60, 100, 120, 150, 200, 400, 1000}) {
-    const auto back = lose(askers, 160'000 * kMs, 30'000 * kMs);
-    CHECK(back.listed == askers);
-    CHECK(back.last <= (askers <= 100 ? 0 : askers * 50 * kMs) + 6000 * kMs);
-    // Not hammered: who has failed or been refused waits for at least half of 4.7 s, the longest wait.
-    if (askers > 100) CHECK(back.mostInASecond <= askers * 1000 / 2350);
+// Discovery has been away for so long that all waits have reached their maximum. A fleet of 100, which it can
+// serve in 5 s at 20 a second, has its lists in 6 s; larger fleets lose at most 6 s.
+void recoveredServiceIsAskedInTime() {
+  for (const int clients : {1, 3, 20, 60, 100, 120, 150, 200, 400, 1000}) {
+    const auto back = simulateOutage(clients, 160'000 * kMs, 30'000 * kMs);
+    CHECK(back.listed == clients);
+    CHECK(back.lastListAfter <= (clients <= 100 ? 0 : clients * 50 * kMs) + 6000 * kMs);
+    // No retry storm: after a failure or refusal a client waits for at least half of 4.7 s, the longest wait.
+    if (clients > 100) CHECK(back.maxPerSecond <= clients * 1000 / 2350);
   }
 }
 
-void aSmallFleetAsksSoon() {
+void smallFleetRetriesSoon() {
   platform::RetryPace pace(3, false, 1);
   for (const Nanos most : {60, 120, 240, 480, 480}) {
-    const Nanos wait = pace.next(0);
+    const Nanos wait = pace.nextWait(0);
     CHECK(wait > 0 && wait <= most * kMs);
   }
-  pace.succeeded();
-  CHECK(pace.patience(0) == 1000 * kMs);  // one dead connection must leave the time for a second
-  CHECK(pace.next(0) <= 60 * kMs);
+  pace.recordSuccess();
+  CHECK(pace.answerTimeout(0) == 1000 * kMs);  // one dead connection must leave time for a second
+  CHECK(pace.nextWait(0) <= 60 * kMs);
 }
 
-void noNumberMakesItDeaf() {
+void waitsAreBoundedForAnyFleetSize() {
   platform::RetryPace pace(1'000'000, false, 1);
-  for (int i = 0; i < 10; ++i) CHECK(pace.next(0) <= 30'000 * kMs && pace.patience(0) <= 15'000 * kMs);
+  for (int i = 0; i < 10; ++i)
+    CHECK(pace.nextWait(0) <= 30'000 * kMs && pace.answerTimeout(0) <= 15'000 * kMs);
 }
 
-// Restarted together, with seeds of their own, they do not ask together.
-void noTwoInStep() {
-  std::map<Nanos, int> perTenth;
-  for (unsigned i = 0; i < 100; ++i) ++perTenth[platform::RetryPace(100, false, i).next(0) / (100 * kMs)];
-  for (const auto& [tenth, calls] : perTenth) CHECK(calls < 25);
+// Aggregators restarted together, each with its own seed, do not send their requests together.
+void firstRequestsAreSpread() {
+  std::map<Nanos, int> requestsPerTenth;
+  for (unsigned i = 0; i < 100; ++i)
+    ++requestsPerTenth[platform::RetryPace(100, false, i).nextWait(0) / (100 * kMs)];
+  for (const auto& [tenth, requests] : requestsPerTenth) CHECK(requests < 25);
 }
 
-// When the list would be in at the latest, counted from the last word of a watch that has fallen silent: the
-// watch opened next is silent too, the one after it answers at once. Every wait is the longest that is drawn.
-Nanos longestUntilListed(int askers, bool pushed, Nanos silence, Nanos start) {
+// The latest time of the list over many seeds, counted from the last data of a watch that has become
+// unresponsive: the request after it is unresponsive too, the one after that is answered at once. With a
+// silence of 0: counted from a move to another address.
+Nanos latestList(int clients, bool pushed, Nanos silence, Nanos start) {
   Nanos longest = 0;
   for (unsigned seed = 0; seed < 500; ++seed) {
-    platform::RetryPace pace(askers, pushed, seed);
+    platform::RetryPace pace(clients, pushed, seed);
     Nanos now = start;
-    silence > 0 ? pace.heard(now) : pace.moved(now);
+    silence > 0 ? pace.recordData(now) : pace.recordMove(now);
     now += silence;
-    if (silence > 0) now += pace.next(now);
-    now += platform::RetryPace::kConnectTime;
-    now += pace.patience(now);  // not a word
-    now += pace.next(now);
-    now += platform::RetryPace::kConnectTime;
+    if (silence > 0) now += pace.nextWait(now);
+    now += platform::RetryPace::kConnectTimeoutNs;
+    now += pace.answerTimeout(now);  // unresponsive
+    now += pace.nextWait(now);
+    now += platform::RetryPace::kConnectTimeoutNs;
     longest = std::max(longest, now - start);
   }
   return longest;
 }
 
-// What a silent watch misses counts as told 6 s after its last word, what a new configuration moves 4 s after
-// that: in any fleet, in the worst draw, a second silence included. Some time must be left for the answer.
-void newsIsInBeforeItCounts() {
-  for (const int askers : {1, 3, 48, 300, 1'000'000})
+// Updates that an unresponsive watch misses must be known 6 s after its last data, and 4 s after a new
+// configuration has moved discovery: in a fleet of any size, with the worst random waits, and with a second
+// unresponsive request. Some time must be left for the answer.
+void updatesMeetTheDeadline() {
+  for (const int clients : {1, 3, 48, 300, 1'000'000})
     for (const bool pushed : {false, true}) {
-      CHECK(longestUntilListed(askers, pushed, platform::RetryPace::kSilence, 100'000 * kMs) <= 5700 * kMs);
-      CHECK(longestUntilListed(askers, pushed, 0, 100'000 * kMs) <= 3700 * kMs);
+      CHECK(latestList(clients, pushed, platform::RetryPace::kWatchIdleTimeoutNs, 100'000 * kMs) <=
+            5700 * kMs);
+      CHECK(latestList(clients, pushed, 0, 100'000 * kMs) <= 3700 * kMs);
     }
 }
 
-// Whatever befell the calls before: from the moment that the last call tells of, its beginning or its
-// refusal, to the list of the next one 6 s at most, with the longest connects and a second for the answer.
-void whateverCameBeforeNewsIsIn() {
-  constexpr Nanos kConnect = platform::RetryPace::kConnectTime, kAnswer = 1000 * kMs;
-  for (const int askers : {1, 3, 48, 150, 300, 2000, 1'000'000})
+// After any sequence of failures: from the moment whose state the last request reports (its start, or its
+// refusal) at most 6 s pass to the list of the next one, with the longest connects and 1 s for the answer.
+void updatesMeetTheDeadlineAfterAnyFailures() {
+  constexpr Nanos kConnect = platform::RetryPace::kConnectTimeoutNs, kAnswer = 1000 * kMs;
+  for (const int clients : {1, 3, 48, 150, 300, 2000, 1'000'000})
     for (const bool pushed : {false, true})
       for (unsigned seed = 0; seed < 200; ++seed) {
         std::mt19937_64 random(seed);
-        platform::RetryPace pace(askers, pushed, seed);
+        platform::RetryPace pace(clients, pushed, seed);
         Nanos now = 100'000 * kMs;
-        pace.moved(now);
-        for (int call = 0; call < 20; ++call) {
-          Nanos tells = now;
-          const auto met = random() % 4;
-          now += met == 0 ? kConnect : static_cast<Nanos>(random() % kConnect);  // vanished, or it is up
-          if (met == 1) now += pace.patience(now);                               // mute
-          if (met == 2) now += static_cast<Nanos>(random() % (2000 * kMs));      // from its queue
-          const bool refused = met >= 2;
-          if (refused) tells = now;
-          const Nanos wait = pace.next(now, refused);
+        pace.recordMove(now);
+        for (int request = 0; request < 20; ++request) {
+          Nanos reportedAt = now;
+          const auto failure = random() % 4;
+          now += failure == 0 ? kConnect
+                              : static_cast<Nanos>(random() % kConnect);  // connect time-out, or connected
+          if (failure == 1) now += pace.answerTimeout(now);               // unresponsive
+          if (failure == 2)
+            now += static_cast<Nanos>(random() % (2000 * kMs));  // refused after time in its queue
+          const bool refused = failure >= 2;
+          if (refused) reportedAt = now;
+          const Nanos wait = pace.nextWait(now, refused);
           CHECK(wait > 0);
           now += wait;
-          CHECK(now + kConnect + kAnswer <= tells + 6000 * kMs);
+          CHECK(now + kConnect + kAnswer <= reportedAt + 6000 * kMs);
         }
       }
 }
 
-// One that refuses at once, for ever, is asked less and less: a small fleet's waits grow, a large one's stay.
-void refusalsSlowItDown() {
+// A service that always refuses at once is asked less often: a small fleet's waits grow, a large one's stay.
+void refusalsBackOff() {
   platform::RetryPace small(3, false, 1), large(400, false, 1);
   Nanos wait = 0;
-  for (Nanos now = 10'000 * kMs, calls = 0; calls < 5; ++calls, now += wait) wait = small.next(now, true);
+  for (Nanos now = 10'000 * kMs, requests = 0; requests < 5; ++requests, now += wait)
+    wait = small.nextWait(now, true);
   CHECK(wait >= 240 * kMs);
-  for (Nanos now = 10'000 * kMs, calls = 0; calls < 5; ++calls, now += wait) {
-    wait = large.next(now, true);
+  for (Nanos now = 10'000 * kMs, requests = 0; requests < 5; ++requests, now += wait) {
+    wait = large.nextWait(now, true);
     CHECK(wait >= 2350 * kMs);
   }
 }
 
-// ---- one that keeps every call in its queue and never says no ----
-
-// A discovery service of the kinds that are met, on a virtual clock.
-struct Kind {
-  enum class Order { inTurn, lastFirst, together };  // together: all at once, each the slower for it
-  Order order = Order::inTurn;
-  Nanos each = 50 * kMs;      // what a list costs it
-  bool noticesClose = false;  // a call whose caller has left costs nothing more
-  double dead = 0;            // of the first calls, so many lie on a connection on which nothing will come
-  double wrong = 0;           // of the answers, so many are a refusal at their turn
-  double broken = 0;          // of the calls, so many are reset at once
+// ---- a service that queues every request and never refuses ----
+
+// Model of a discovery service, on a virtual clock.
+struct ServiceModel {
+  enum class Order { fifo, lifo, shared };  // shared: all at once, each at its share of the speed
+  Order order = Order::fifo;
+  Nanos serviceTime = 50 * kMs;  // work for one list
+  bool cancelsOnClose = false;   // a request whose client has left costs no more work
+  double deadShare = 0;          // share of the first requests whose connection never carries data
+  double refusedShare = 0;       // share of the answers that are a refusal once served
+  double resetShare = 0;         // share of the requests that are reset at once
 };
 
-// All askers lose their watch at 0. Each asks as platform::Discovery does: its waits, its patience and the
-// place that it keeps are the pace's.
-class Overbooked {
+// All clients lose their watch at 0. Each sends requests as platform::Discovery does: waits,
+// time-outs and the kept request are those of the retry policy.
+class FleetSimulation {
  public:
-  // Seeded: no call keeps its place.
-  Overbooked(Kind kind, int askers, std::uint64_t seed, bool seeded = false)
-      : kind_(kind), seeded_(seeded), random_(seed) {
-    for (int i = 0; i < askers; ++i) {
-      askers_.emplace_back(platform::RetryPace(askers, false, random_()));
-      askers_.back().pace.heard(0);
-      wait(askers_.size() - 1, false);
+  // `withoutHedging`: no request is kept, to show that the checks detect this.
+  FleetSimulation(ServiceModel service, int clients, std::uint64_t seed, bool withoutHedging = false)
+      : service_(service), withoutHedging_(withoutHedging), random_(seed) {
+    for (int i = 0; i < clients; ++i) {
+      clients_.emplace_back(platform::RetryPace(clients, false, random_()));
+      clients_.back().pace.recordData(0);
+      scheduleRequest(clients_.size() - 1, false);
     }
   }
-  int calls = 0, mostOpen = 0, listed = 0;
-  Nanos last = 0, idle = 0;  // the last list; when nothing is left to be done
-  std::size_t queued() const { return waiting_.size(); }
+  int requests = 0;
+  int mostOpen = 0;  // requests of one client
+  int listed = 0;    // clients that have their list
+  Nanos last = 0;    // time of the last list
+  Nanos idle = 0;    // when the service has no work left
+  std::size_t queued() const { return queue_.size(); }
 
   void run(Nanos end) {
     while (!events_.empty() && events_.begin()->first < end) {
@@ -220,225 +238,239 @@
 
  private:
   static constexpr std::size_t kNone = static_cast<std::size_t>(-1);
-  struct Asker {
-    explicit Asker(platform::RetryPace p) : pace(std::move(p)) {}
+  struct Client {
+    explicit Client(platform::RetryPace p) : pace(std::move(p)) {}
     platform::RetryPace pace;
-    std::size_t current = kNone, kept = kNone;  // calls
-    bool asked = false, listed = false;
+    std::size_t current = kNone;  // request
+    std::size_t kept = kNone;     // request
+    bool asked = false;
+    bool listed = false;
   };
-  struct Call {
-    std::size_t asker;
+  struct Request {
+    std::size_t client;
     bool open = true;
-    Nanos left = 0;  // of its work
+    Nanos workLeft = 0;
   };
 
-  void at(Nanos when, std::function<void()> what) { events_.emplace(when, std::move(what)); }
-  bool drawn(double share) { return std::uniform_real_distribution<>()(random_) < share; }
+  void schedule(Nanos when, std::function<void()> what) { events_.emplace(when, std::move(what)); }
+  bool chance(double share) { return std::uniform_real_distribution<>()(random_) < share; }
 
-  // ---- the askers ----
-  void wait(std::size_t who, bool refused) {
-    at(now_ + askers_[who].pace.next(now_, refused), [this, who] { open(who); });
+  // ---- the clients ----
+  void scheduleRequest(std::size_t who, bool refused) {
+    schedule(now_ + clients_[who].pace.nextWait(now_, refused), [this, who] { sendRequest(who); });
   }
-  void open(std::size_t who) {
-    auto& asker = askers_[who];
-    if (asker.listed) return;
-    const auto call = calls_.size();
-    calls_.push_back({who, true, kind_.each});
-    asker.current = call;
-    mostOpen = std::max(mostOpen, 1 + (asker.kept != kNone));
-    ++calls;
-    if (drawn(kind_.broken)) return at(now_ + kMs, [this, call] { ended(call, false); });
-    const bool dead = !std::exchange(asker.asked, true) && drawn(kind_.dead);
-    at(now_ + asker.pace.patience(now_), [this, call] { overdue(call); });
-    if (!dead) arrive(call);
+  void sendRequest(std::size_t who) {
+    auto& client = clients_[who];
+    if (client.listed) return;
+    const auto request = requests_.size();
+    requests_.push_back({who, true, service_.serviceTime});
+    client.current = request;
+    mostOpen = std::max(mostOpen, 1 + (client.kept != kNone));
+    ++requests;
+    if (chance(service_.resetShare))
+      return schedule(now_ + kMs, [this, request] { onFailure(request, false); });
+    const bool dead = !std::exchange(client.asked, true) && chance(service_.deadShare);
+    schedule(now_ + client.pace.answerTimeout(now_), [this, request] { onTimeout(request); });
+    if (!dead) enqueue(request);
   }
-  void overdue(std::size_t call) {
-    auto& asker = askers_[calls_[call].asker];
-    if (asker.current != call) return;
-    asker.current = kNone;
-    const Nanos time = seeded_ ? 0 : asker.pace.keepPlace(asker.kept != kNone);
+  void onTimeout(std::size_t request) {
+    auto& client = clients_[requests_[request].client];
+    if (client.current != request) return;
+    client.current = kNone;
+    const Nanos time = withoutHedging_ ? 0 : client.pace.keptRequestTimeout(client.kept != kNone);
     if (time > 0) {
-      CHECK(asker.kept == kNone);
-      asker.kept = call;
-      at(now_ + time, [this, call] {
-        if (askers_[calls_[call].asker].kept == call) ended(call, false);
+      CHECK(client.kept == kNone);
+      client.kept = request;
+      schedule(now_ + time, [this, request] {
+        if (clients_[requests_[request].client].kept == request) onFailure(request, false);
       });
     } else {
-      leave(call);
+      close(request);
     }
-    wait(calls_[call].asker, false);
+    scheduleRequest(requests_[request].client, false);
   }
-  void ended(std::size_t call, bool refused) {
-    const auto who = calls_[call].asker;
-    auto& asker = askers_[who];
-    leave(call);
-    if (asker.kept == call) {
-      asker.kept = kNone;
-    } else if (asker.current == call) {
-      asker.current = kNone, wait(who, refused);
+  void onFailure(std::size_t request, bool refused) {
+    const auto who = requests_[request].client;
+    auto& client = clients_[who];
+    close(request);
+    if (client.kept == request) {
+      client.kept = kNone;
+    } else if (client.current == request) {
+      client.current = kNone;
+      scheduleRequest(who, refused);
     }
   }
-  void answered(std::size_t call) {
-    auto& asker = askers_[calls_[call].asker];
-    if (!calls_[call].open) return;
-    if (drawn(kind_.wrong)) return ended(call, true);
-    asker.listed = true, ++listed, last = now_;
-    asker.pace.heard(now_), asker.pace.succeeded();
-    for (const auto one : {asker.current, asker.kept})
-      if (one != kNone) leave(one);
-    asker.current = asker.kept = kNone;
+  void onAnswer(std::size_t request) {
+    auto& client = clients_[requests_[request].client];
+    if (!requests_[request].open) return;
+    if (chance(service_.refusedShare)) return onFailure(request, true);
+    client.listed = true;
+    ++listed;
+    last = now_;
+    client.pace.recordData(now_);
+    client.pace.recordSuccess();
+    for (const auto one : {client.current, client.kept})
+      if (one != kNone) close(one);
+    client.current = client.kept = kNone;
   }
 
   // ---- the service ----
-  void arrive(std::size_t call) {
-    progress();
-    waiting_.push_back(call);
-    serve();
+  void enqueue(std::size_t request) {
+    accountWork();
+    queue_.push_back(request);
+    startNext();
   }
-  void leave(std::size_t call) {
-    calls_[call].open = false;
-    if (!kind_.noticesClose) return;
-    progress();
-    std::erase(waiting_, call);
-    serve();
+  void close(std::size_t request) {
+    requests_[request].open = false;
+    if (!service_.cancelsOnClose) return;
+    accountWork();
+    std::erase(queue_, request);
+    startNext();
   }
-  // What has been done since the last look.
-  void progress() {
-    Nanos done = now_ - std::exchange(looked_, now_);
-    if (waiting_.empty()) return;
-    if (kind_.order != Kind::Order::together) {
-      if (serving_ != kNone) calls_[serving_].left -= done;
+  // Accounts for the work done since the last event.
+  void accountWork() {
+    Nanos done = now_ - std::exchange(accountedUntil_, now_);
+    if (queue_.empty()) return;
+    if (service_.order != ServiceModel::Order::shared) {
+      if (serving_ != kNone) requests_[serving_].workLeft -= done;
     } else {
-      for (const auto call : waiting_) calls_[call].left -= done / std::ssize(waiting_);
+      for (const auto request : queue_) requests_[request].workLeft -= done / std::ssize(queue_);
     }
   }
-  void serve() {
-    ++round_;
-    if (waiting_.empty()) {
-      serving_ = kNone, idle = now_;
+  void startNext() {
+    ++scheduleVersion_;
+    if (queue_.empty()) {
+      serving_ = kNone;
+      idle = now_;
       return;
     }
-    if (kind_.order == Kind::Order::together)
-      serving_ = *std::ranges::min_element(waiting_, {}, [this](auto c) { return calls_[c].left; });
-    else if (std::ranges::find(waiting_, serving_) == waiting_.end())
-      serving_ = kind_.order == Kind::Order::inTurn ? waiting_.front() : waiting_.back();
-    const Nanos still = std::max<Nanos>(1, calls_[serving_].left) *
-                        (kind_.order == Kind::Order::together ? std::ssize(waiting_) : 1);
-    at(now_ + still, [this, round = round_] {
-      if (round != round_) return;
-      progress();
-      const auto call = serving_;
-      std::erase(waiting_, call);
+    if (service_.order == ServiceModel::Order::shared)
+      serving_ = *std::ranges::min_element(queue_, {}, [this](auto c) { return requests_[c].workLeft; });
+    else if (std::ranges::find(queue_, serving_) == queue_.end())
+      serving_ = service_.order == ServiceModel::Order::fifo ? queue_.front() : queue_.back();
+    const Nanos timeLeft = std::max<Nanos>(1, requests_[serving_].workLeft) *
+                           (service_.order == ServiceModel::Order::shared ? std::ssize(queue_) : 1);
+    schedule(now_ + timeLeft, [this, version = scheduleVersion_] {
+      if (version != scheduleVersion_) return;
+      accountWork();
+      const auto request = serving_;
+      std::erase(queue_, request);
       serving_ = kNone;
-      serve();
-      answered(call);
+      startNext();
+      onAnswer(request);
     });
   }
 
-  Kind kind_;
-  bool seeded_;
+  ServiceModel service_;
+  bool withoutHedging_;
   std::mt19937_64 random_;
-  Nanos now_ = 0, looked_ = 0;
-  std::uint64_t round_ = 0;
+  Nanos now_ = 0;
+  Nanos accountedUntil_ = 0;
+  std::uint64_t scheduleVersion_ = 0;
   std::multimap<Nanos, std::function<void()>> events_;
-  std::vector<Asker> askers_;
-  std::vector<Call> calls_;
-  std::deque<std::size_t> waiting_;
+  std::vector<Client> clients_;
+  std::vector<Request> requests_;
+  std::deque<std::size_t> queue_;
   std::size_t serving_ = kNone;
 };
 
-constexpr Nanos kEver = 1000'000 * kMs;
-
-// Nobody is refused, and a call that was given up on is served all the same. Without a call that keeps its
-// place 200 never have their lists. With it they have them nearly as soon as the service can make them, by
-// fewer calls.
-void anOverbookedServiceIsGotOver() {
-  Overbooked seeded({}, 200, 7, true);
-  seeded.run(kEver);
-  CHECK(seeded.listed < 100 && seeded.calls > 20'000);
-  for (const bool notices : {false, true})
-    for (const int askers : {20, 50, 100, 150, 200, 400, 1000}) {
-      Overbooked fleet({.noticesClose = notices}, askers, 7);
-      fleet.run(kEver);
-      CHECK(fleet.listed == askers && fleet.mostOpen <= 2);
-      CHECK(fleet.last <= askers * 50 * kMs + 1000 * kMs);
-      // Each asks once, and again each 4.7 s at most while it waits, which is half of the time in the mean.
-      CHECK(fleet.calls <= askers + askers * (fleet.last / (2 * 2350 * kMs)));
-      if (askers == 200) CHECK(fleet.last < 60'000 * kMs && fleet.calls < 500);
-      // What had been asked for beside the kept calls is served behind them.
+constexpr Nanos kUnlimited = 1000'000 * kMs;
+
+// No request is refused, and one that was given up on is worked off all the same. Without hedging, 200
+// clients never get their lists. With it they get them nearly as soon as the service can make them, with
+// fewer requests.
+void overloadedServiceRecovers() {
+  FleetSimulation unhedged({}, 200, 7, true);
+  unhedged.run(kUnlimited);
+  CHECK(unhedged.listed < 100 && unhedged.requests > 20'000);
+  for (const bool cancels : {false, true})
+    for (const int clients : {20, 50, 100, 150, 200, 400, 1000}) {
+      FleetSimulation fleet({.cancelsOnClose = cancels}, clients, 7);
+      fleet.run(kUnlimited);
+      CHECK(fleet.listed == clients && fleet.mostOpen <= 2);
+      CHECK(fleet.last <= clients * 50 * kMs + 1000 * kMs);
+      // Each sends one request, and another one every 4.7 s at most while it waits, on average half of the
+      // time.
+      CHECK(fleet.requests <= clients + clients * (fleet.last / (2 * 2350 * kMs)));
+      if (clients == 200) CHECK(fleet.last < 60'000 * kMs && fleet.requests < 500);
+      // The requests sent beside the kept ones are worked off after these.
       CHECK(fleet.idle <= 8 * fleet.last);
     }
-  for (const bool notices : {false, true}) {
-    const Kind together{.order = Kind::Order::together, .noticesClose = notices};
-    Overbooked fleet(together, 200, 7), none(together, 200, 7, true);
-    fleet.run(kEver), none.run(kEver);
-    CHECK(fleet.listed == 200 && fleet.last < 60'000 * kMs && none.listed < 200);
+  for (const bool cancels : {false, true}) {
+    const ServiceModel shared{.order = ServiceModel::Order::shared, .cancelsOnClose = cancels};
+    FleetSimulation fleet(shared, 200, 7);
+    FleetSimulation sharedUnhedged(shared, 200, 7, true);
+    fleet.run(kUnlimited);
+    sharedUnhedged.run(kUnlimited);
+    CHECK(fleet.listed == 200 && fleet.last < 60'000 * kMs && sharedUnhedged.listed < 200);
   }
 }
 
-// Services drawn from a seed, each such that it could make all the lists in 10 s at most.
-void whicheverServiceIsDrawn() {
-  int seededBroken = 0;
+// Random services, generated from a seed, each able to make all lists in 10 s at most.
+void randomServicesRecover() {
+  int failedWithoutHedging = 0;
   for (unsigned seed = 0; seed < 400; ++seed) {
     std::mt19937_64 random(seed);
-    const auto upTo = [&](double most) { return std::uniform_real_distribution<>(0, most)(random); };
-    const int askers = 1 + static_cast<int>(upTo(299));
-    Kind kind;
-    kind.order = static_cast<Kind::Order>(seed % 3);
-    kind.each = static_cast<Nanos>(upTo(10e9)) / askers + 1;
-    kind.noticesClose = random() % 2 == 0;
-    if (random() % 2 == 0) kind.dead = upTo(0.5);
-    if (random() % 2 == 0) kind.wrong = upTo(0.2);
-    if (random() % 2 == 0) kind.broken = upTo(0.2);
-    Overbooked fleet(kind, askers, seed);
-    fleet.run(kEver);
-    // A kept call that is dead is kept for its time, and its successor begins behind what has come in since.
-    // Where the oldest are not served first, those that have left lie ahead of them.
-    const bool wasteful = kind.order != Kind::Order::inTurn && !kind.noticesClose;
-    const Nanos most = ((wasteful ? 300'000 : 60'000) + (kind.dead > 0 ? 60'000 : 0)) * kMs;
-    if (fleet.listed < askers || fleet.last > most || fleet.mostOpen > 2)
-      std::fprintf(stderr, "seed %u: %d of %d listed, the last after %.1f s, %d calls open\n", seed,
-                   fleet.listed, askers, static_cast<double>(fleet.last) / 1e9, fleet.mostOpen);
-    CHECK(fleet.listed == askers && fleet.last <= most && fleet.mostOpen <= 2);
+    const auto uniformUpTo = [&](double most) { return std::uniform_real_distribution<>(0, most)(random); };
+    const int clients = 1 + static_cast<int>(uniformUpTo(299));
+    ServiceModel service;
+    service.order = static_cast<ServiceModel::Order>(seed % 3);
+    service.serviceTime = static_cast<Nanos>(uniformUpTo(10e9)) / clients + 1;
+    service.cancelsOnClose = random() % 2 == 0;
+    if (random() % 2 == 0) service.deadShare = uniformUpTo(0.5);
+    if (random() % 2 == 0) service.refusedShare = uniformUpTo(0.2);
+    if (random() % 2 == 0) service.resetShare = uniformUpTo(0.2);
+    FleetSimulation fleet(service, clients, seed);
+    fleet.run(kUnlimited);
+    // A kept request on a dead connection is kept for its whole time-out, and the next one starts behind all
+    // that have arrived since. Where the oldest are not served first, abandoned ones are served before them.
+    const bool wasteful = service.order != ServiceModel::Order::fifo && !service.cancelsOnClose;
+    const Nanos most = ((wasteful ? 300'000 : 60'000) + (service.deadShare > 0 ? 60'000 : 0)) * kMs;
+    if (fleet.listed < clients || fleet.last > most || fleet.mostOpen > 2)
+      std::fprintf(stderr,
+                   "seed %u: %d of %d clients have their list, the last after %.1f s, %d requests open\n",
+                   seed, fleet.listed, clients, static_cast<double>(fleet.last) / 1e9, fleet.mostOpen);
+    CHECK(fleet.listed == clients && fleet.last <= most && fleet.mostOpen <= 2);
     if (seed % 4 != 0) continue;
-    Overbooked seeded(kind, askers, seed, true);
-    seeded.run(300'000 * kMs);
-    seededBroken += seeded.listed < askers;
+    FleetSimulation unhedged(service, clients, seed, true);
+    unhedged.run(300'000 * kMs);
+    failedWithoutHedging += unhedged.listed < clients;
   }
-  CHECK(seededBroken >= 10);
+  CHECK(failedWithoutHedging >= 10);
 }
 
-// All first calls lie on connections on which nothing will come, the service itself is sound: the list of the
-// next ones is in by the time that counts.
-void aDeadFirstCallIsNoDelay() {
-  for (const int askers : {1, 3, 20, 48, 300})
+// The connections of all first requests are dead while the service itself is healthy: the second requests
+// bring the lists by the deadline.
+void deadFirstConnectionMeetsTheDeadline() {
+  for (const int clients : {1, 3, 20, 48, 300})
     for (unsigned seed = 0; seed < 50; ++seed) {
-      Overbooked fleet({.each = kMs, .dead = 1}, askers, seed);
-      fleet.run(kEver);
-      CHECK(fleet.listed == askers && fleet.last <= 6000 * kMs && fleet.mostOpen <= 2);
+      FleetSimulation fleet({.serviceTime = kMs, .deadShare = 1}, clients, seed);
+      fleet.run(kUnlimited);
+      CHECK(fleet.listed == clients && fleet.last <= 6000 * kMs && fleet.mostOpen <= 2);
     }
 }
 
-// It keeps its place for as long as a slow service needs for all who ask, within bounds; one does.
-void aPlaceIsKeptForLong() {
-  for (const int askers : {1, 200, 2000, 1'000'000}) {
-    const platform::RetryPace pace(askers, false, 1);
-    CHECK(pace.keepPlace(false) >= std::min(1'800'000, std::max(60'000, askers * 250)) * kMs);
-    CHECK(pace.keepPlace(false) <= 1'800'000 * kMs && pace.keepPlace(true) == 0);
-    CHECK(platform::RetryPace(askers, true, 1).keepPlace(false) ==
-          0);  // an agent answers at once, or not at all
+// A request is kept for as long as a slow service needs for the whole fleet, within bounds; only one is kept.
+void keptRequestTimeoutIsBounded() {
+  for (const int clients : {1, 200, 2000, 1'000'000}) {
+    const platform::RetryPace pace(clients, false, 1);
+    CHECK(pace.keptRequestTimeout(false) >= std::min(1'800'000, std::max(60'000, clients * 250)) * kMs);
+    CHECK(pace.keptRequestTimeout(false) <= 1'800'000 * kMs && pace.keptRequestTimeout(true) == 0);
+    CHECK(platform::RetryPace(clients, true, 1).keptRequestTimeout(false) ==
+          0);  // an agent answers at once or not at all
   }
 }
 
-// An agent beside the program learns nothing while discovery is down, and what it gets counts at once:
-// however long that has lasted, it is asked so often that the time that a drain allows is enough.
-void anAgentIsAskedAtOnce() {
+// A local agent learns nothing while discovery is down, and what it gets then counts as announced at once. So
+// after an outage of any length it must be asked often enough for the time that a drain allows.
+void agentIsAskedOften() {
   platform::RetryPace pace(300, true, 1);
-  pace.heard(0);
+  pace.recordData(0);
   for (Nanos now = 10'000 * kMs; now < 40'000 * kMs;) {
-    const Nanos wait = pace.next(now), given = pace.patience(now);
-    CHECK(wait > 0 && wait + given <= 450 * kMs);
-    now += wait + given;
+    const Nanos wait = pace.nextWait(now);
+    const Nanos timeout = pace.answerTimeout(now);
+    CHECK(wait > 0 && wait + timeout <= 450 * kMs);
+    now += wait + timeout;
   }
 }
 
@@ -447,17 +479,17 @@
 
 int main() {
   using namespace topazweir::test;
-  aLargeFleetGetsItsListBack();
-  aSmallFleetAsksSoon();
-  noNumberMakesItDeaf();
-  noTwoInStep();
-  newsIsInBeforeItCounts();
-  oneThatComesBackIsAskedInTime();
-  whateverCameBeforeNewsIsIn();
-  refusalsSlowItDown();
-  anAgentIsAskedAtOnce();
-  anOverbookedServiceIsGotOver();
-  whicheverServiceIsDrawn();
-  aDeadFirstCallIsNoDelay();
-  aPlaceIsKeptForLong();
+  largeFleetRecovers();
+  smallFleetRetriesSoon();
+  waitsAreBoundedForAnyFleetSize();
+  firstRequestsAreSpread();
+  updatesMeetTheDeadline();
+  recoveredServiceIsAskedInTime();
+  updatesMeetTheDeadlineAfterAnyFailures();
+  refusalsBackOff();
+  agentIsAskedOften();
+  overloadedServiceRecovers();
+  randomServicesRecover();
+  deadFirstConnectionMeetsTheDeadline();
+  keptRequestTimeoutIsBounded();
 }
