--- a/src/platform/node_pool.hpp
+++ b/src/platform/node_pool.hpp
@@ -26,7 +26,8 @@
     std::size_t maxConnections = 256;
   };
 
-  // `directory` must outlive this. `onAttemptEnd` is called once for each attempt that is not cancelled.
+  // `directory` must outlive this. `onAttemptEnd` is called once for each attempt that is not cancelled,
+  // possibly from within start().
   NodePool(net::Loop& loop, broker::Log& log, const Directory& directory, Options options,
            OnAttemptEnd onAttemptEnd);
   ~NodePool() override;
--- a/src/platform/side.hpp
+++ b/src/platform/side.hpp
@@ -59,7 +59,7 @@
   bool listTold() const { return listReceived_; }  // discovery has sent a list
   // The current list of nodes in discovery's format.
   std::string list() const { return directory_.text(generation_, config_.zones); }
-  // No request is open and nothing is left to be written to clients.
+  // No request is open, and all answers have been written whole and read by clients that still read.
   bool quiet() const { return broker_.open() == 0 && front_->server().quiet(); }
 
  private:
--- a/tests/standing_terms_test.cpp
+++ b/tests/standing_terms_test.cpp
@@ -335,7 +335,7 @@
   return broken;
 }
 
-// ---- real sockets ----
+// ---- with real sockets ----
 
 std::string get(const std::string& path) { return "GET " + path + " HTTP/1.1\r\nHost: a\r\n\r\n"; }
 std::string query(const std::string& id) {
