--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -16,11 +16,11 @@
                               std::string_view body) {
   const auto path = head.target.substr(0, head.target.find('?'));
   const bool isPage = path == "/up" || path == "/counters";
-  if (isPage && head.method != "GET") return respondText(exchange, 405, "this page answers GET only\n");
+  if (isPage && head.method != "GET") return respondText(exchange, 405, "only GET here\n");
   if (path == "/up")
     return up_ ? respondText(exchange, 200, "up\n") : respondText(exchange, 503, "draining\n");
   if (path == "/counters") return respondText(exchange, 200, counters_());
-  if (head.method != "POST") return respondText(exchange, 405, "queries must be sent with POST\n");
+  if (head.method != "POST") return respondText(exchange, 405, "queries are sent as POST\n");
   handleQuery(exchange, head, body);
 }
 
--- a/src/platform/query.cpp
+++ b/src/platform/query.cpp
@@ -62,16 +62,15 @@
   std::string_view query;
   if (parser.parse(simdjson::padded_string(body)).get(root) != SUCCESS)
     return http::Fault{400, "the body is not a JSON object"};
-  if (root["query"].get(query) != SUCCESS) return http::Fault{400, "query is missing or not a string"};
-  if (root["targets"].get(targets) != SUCCESS) return http::Fault{400, "targets is missing or not an array"};
+  if (root["query"].get(query) != SUCCESS) return http::Fault{400, "query is missing or not a text"};
+  if (root["targets"].get(targets) != SUCCESS) return http::Fault{400, "targets is missing or not a list"};
   request.query = query;
   for (const auto item : targets) {
     std::int64_t shard = 0;
     broker::PartRequest part;
     if (item["partition"].get(shard) != SUCCESS || shard < 0 || shard >= terms.settings.shards)
       return http::Fault{400, "a partition is missing or unknown"};
-    if (item["share"].get(part.weight) != SUCCESS)
-      return http::Fault{400, "a share is missing or not a number"};
+    if (item["share"].get(part.weight) != SUCCESS) return http::Fault{400, "a share is missing or no number"};
     part.shard = static_cast<int>(shard);
     request.parts.push_back(part);
   }
--- a/tests/standing_terms_test.cpp
+++ b/tests/standing_terms_test.cpp
@@ -5,9 +5,8 @@
 // 2 Nothing is started for a client more than 0.1 s after it has left. Covered by broker_test, endings_test,
 //   ends_test and, for cancelled calls, grpc_wire_test; here nothingBeginsForWhoHasLeft, norAfterAStandstill,
 //   norBehindAFlood, noDialBringsItBack.
-// 3 The load of all aggregators together does not overload cold servers. Covered by fleet_test,
-// cold_ramp_test
-//   and, for a single instance, rules_test; no case here.
+// 3 The load of all aggregators together does not overload cold servers. Covered by fleet_test and
+//   cold_ramp_test and, for a single instance, rules_test; no case here.
 // 4 Idle clients may use up the descriptors while discovery is down. Covered by server_test, node_pool_test,
 //   but not with discovery down; here idleClientsMayFillIt.
 // 5 Nine in ten restarted processes are ready within 10 s. Covered by operation_test, ends_test; here
