--- a/src/agreement/follower.cpp
+++ b/src/agreement/follower.cpp
@@ -7,8 +7,9 @@
 namespace topazweir::agreement {
 
 namespace {
-using Fields = std::tuple<bool, std::string>;  // led; the register, empty where it is not later
-constexpr std::size_t kMostBytes = 64 * 1024 * 1024;
+// Whether the voter knows of a leader; the register, empty if it is not newer.
+using Fields = std::tuple<bool, std::string>;
+constexpr std::size_t kMaxStringBytes = 64 * 1024 * 1024;  // of the serialised register
 }  // namespace
 
 std::string answerToFollower(const Register& held, bool led, std::uint64_t known) {
@@ -16,13 +17,13 @@
 }
 
 std::optional<std::string> Follower::tick(Nanos now) {
-  if (voters_.empty() || now < askAt_) return std::nullopt;
-  askAt_ = now + every_;
+  if (voters_.empty() || now < nextRequestAt_) return std::nullopt;
+  nextRequestAt_ = now + interval_;
   return voters_[next_++ % voters_.size()];
 }
 
 bool Follower::take(std::string_view answer, Nanos now) {
-  const auto fields = unpack<Fields>(answer, kMostBytes);
+  const auto fields = unpack<Fields>(answer, kMaxStringBytes);
   if (!fields) return false;
   const auto& [led, bytes] = *fields;
   if (!bytes.empty()) {
@@ -30,7 +31,7 @@
     if (!read) return false;
     if (read->commands() > held_.commands()) held_ = std::move(*read);
   }
-  if (led) ledAt_ = now;
+  if (led) lastLedAnswerAt_ = now;
   return true;
 }
 
--- a/src/agreement/follower.hpp
+++ b/src/agreement/follower.hpp
@@ -1,6 +1,7 @@
-// The register as a member holds it that is no voter and that its dissemination does not reach, such as among
-// voters from before it: asked of one voter after the other, taken where it is later. Pure: `now` and answers
-// in, questions out.
+// Polls the voters for the register. Used by a member that is not a voter, while the dissemination does not
+// reach it (for example because the voters run a version without dissemination). The voters are asked in
+// turn, and an answer is adopted if it is newer. No I/O: time and answers are passed in, requests are
+// returned.
 #pragma once
 
 #include <optional>
@@ -13,35 +14,41 @@
 
 namespace topazweir::agreement {
 
-// What a voter answers to one whose register holds `known` commands. `led`: it knows of a leader.
+// Encodes a voter's answer to a member whose register has applied `known` commands. The register is included
+// only if it is newer. `led`: whether the voter knows of a leader.
 std::string answerToFollower(const Register& held, bool led, std::uint64_t known);
 
 class Follower {
  public:
-  // `every`: between two questions. `wait`: before the first one after rest(), drawn, so that many that are
-  // cut off at once don't all ask at once.
-  Follower(std::vector<std::string> voters, Nanos every, Nanos wait)
-      : voters_(std::move(voters)), every_(every), wait_(wait) {}
+  // `interval`: time between two requests. `initialDelay`: time before the first request after rest(),
+  // randomised by the caller so that members that are cut off together do not all ask at once.
+  Follower(std::vector<std::string> voters, Nanos interval, Nanos initialDelay)
+      : voters_(std::move(voters)), interval_(interval), initialDelay_(initialDelay) {}
 
-  // The voter to be asked now; none: it is not time yet, or there is no voter.
+  // The voter to ask now; none while no request is due, or without voters.
   std::optional<std::string> tick(Nanos now);
-  void rest(Nanos now) { askAt_ = now + wait_; }  // it is not needed
-  void drop() { held_ = {}; }                     // what is held elsewhere is later
-  // False: broken. An older register than the one held is passed over.
+  // Polling is not needed at present: postpones the next request by the initial delay.
+  void rest(Nanos now) { nextRequestAt_ = now + initialDelay_; }
+  // Forgets the register, since a newer one is held elsewhere.
+  void drop() { held_ = {}; }
+  // Handles a voter's answer. A register that is not newer than the held one is ignored. False: malformed.
   bool take(std::string_view answer, Nanos now);
 
   const Register& held() const { return held_; }
-  // Since when a voter that knew of a leader last answered; negative: never.
-  Nanos age(Nanos now) const { return ledAt_ == 0 ? -1 : now - ledAt_; }
+  // Time since the last answer of a voter that knew of a leader; negative: there was none.
+  Nanos age(Nanos now) const { return lastLedAnswerAt_ == 0 ? -1 : now - lastLedAnswerAt_; }
 
-  static constexpr int kFresh =
-      6;  // questions without such an answer: each voter of five was asked, and one again
+  // Number of request intervals for which an answer counts as fresh: enough to ask each of five voters, and
+  // one of them again.
+  static constexpr int kFreshIntervals = 6;
 
  private:
   std::vector<std::string> voters_;
-  Nanos every_, wait_;
-  Nanos askAt_ = 0, ledAt_ = 0;
-  std::size_t next_ = 0;
+  Nanos interval_;
+  Nanos initialDelay_;
+  Nanos nextRequestAt_ = 0;
+  Nanos lastLedAnswerAt_ = 0;
+  std::size_t next_ = 0;  // number of requests so far: selects the next voter
   Register held_;
 };
 
--- a/src/agreement/messages.hpp
+++ b/src/agreement/messages.hpp
@@ -1,4 +1,4 @@
-// The library's messages as bytes.
+// Serialisation of libraft's messages, and copies of its structures allocated as libraft expects.
 #pragma once
 
 #include <string>
@@ -9,13 +9,13 @@
 namespace topazweir::agreement {
 
 std::string writeMessage(const raft_message& message);
-// False: broken. What it allocates belongs to the library once it has been handed over. Messages that name a
-// configuration get the one given.
+// False: malformed. What is allocated for `message` is owned by the library once the message has been passed
+// to it. The configuration is not sent: messages that contain one get a copy of `voters`.
 bool readMessage(std::string_view bytes, const raft_configuration& voters, raft_message& message);
 
-// Allocated as the library frees it.
+// A copy of the bytes that the library can free; its base is null if out of memory.
 raft_buffer bufferOf(std::string_view bytes);
-// A copy of the configuration; false: no memory.
+// Copies the configuration; false: out of memory.
 bool copyConfiguration(const raft_configuration& from, raft_configuration& to);
 
 }  // namespace topazweir::agreement
--- a/src/agreement/packing.hpp
+++ b/src/agreement/packing.hpp
@@ -1,4 +1,4 @@
-// Values in MessagePack, as the agreement keeps and sends them.
+// MessagePack encoding of the values that voters store and send.
 #pragma once
 
 #include <cstddef>
@@ -12,18 +12,19 @@
 
 namespace topazweir::agreement {
 
-// None for what is cut off, of another type, longer than the value, or holds a text of more bytes than
-// `most`.
+// None if the bytes are truncated, of another type or followed by further bytes, or if a string in them is
+// longer than `maxStringBytes`.
 template <class Value>
-std::optional<Value> unpack(std::string_view bytes, std::size_t most) {
-  constexpr std::size_t kMostItems = 1 << 16, kDepth = 8;
+std::optional<Value> unpack(std::string_view bytes, std::size_t maxStringBytes) {
+  constexpr std::size_t kMaxArrayItems = 1 << 16;
+  constexpr std::size_t kMaxDepth = 8;
   try {
     std::size_t end = 0;
-    const msgpack::unpack_limit limit(kMostItems, 0, most, 0, 0, kDepth);
+    const msgpack::unpack_limit limit(kMaxArrayItems, 0, maxStringBytes, 0, 0, kMaxDepth);
     const auto handle = msgpack::unpack(bytes.data(), bytes.size(), end, nullptr, nullptr, limit);
     if (end != bytes.size()) return std::nullopt;
     return handle.get().as<Value>();
-  } catch (const std::exception&) {  // the library's way to say so
+  } catch (const std::exception&) {  // the library throws on malformed input
     return std::nullopt;
   }
 }
--- a/src/agreement/raft_c.hpp
+++ b/src/agreement/raft_c.hpp
@@ -1,4 +1,4 @@
-// The library's header is plain C and does not say so to a C++ compiler.
+// Includes libraft's C header with C linkage, which the header itself does not declare.
 #pragma once
 
 #include <cstddef>
--- a/src/agreement/register.cpp
+++ b/src/agreement/register.cpp
@@ -9,8 +9,11 @@
 
 namespace {
 
+// Key, whether there is a value, value, expected fence.
 using CommandFields = std::tuple<std::string, bool, std::string, std::uint64_t>;
+// Key, value, fence.
 using HeldFields = std::tuple<std::string, std::string, std::uint64_t>;
+// Number of commands, keys.
 using RegisterFields = std::tuple<std::uint64_t, std::vector<HeldFields>>;
 
 }  // namespace
@@ -19,10 +22,10 @@
   ++commands_;
   const auto at = all_.find(command.key);
   const std::uint64_t fence = at == all_.end() ? 0 : at->second.fence;
-  const bool large = command.key.empty() || command.key.size() > kMostKey ||
-                     (command.value && command.value->size() > kMostValue);
-  const bool full = at == all_.end() && command.value && all_.size() >= kMost;
-  if (command.expected != fence || large || full) return {false, fence};
+  const bool invalid = command.key.empty() || command.key.size() > kMaxKeyBytes ||
+                       (command.value && command.value->size() > kMaxValueBytes);
+  const bool full = at == all_.end() && command.value && all_.size() >= kMaxKeys;
+  if (command.expected != fence || invalid || full) return {false, fence};
   if (!command.value) {
     if (at != all_.end()) all_.erase(at);
     return {true, 0};
@@ -46,12 +49,12 @@
 
 std::string Register::write() const {
   std::vector<HeldFields> held;
-  for (const auto& [key, h] : all_) held.emplace_back(key, h.value, h.fence);
+  for (const auto& [key, entry] : all_) held.emplace_back(key, entry.value, entry.fence);
   return pack(RegisterFields(commands_, std::move(held)));
 }
 
 std::optional<Register> Register::read(std::string_view bytes) {
-  const auto fields = unpack<RegisterFields>(bytes, kMostValue);
+  const auto fields = unpack<RegisterFields>(bytes, kMaxValueBytes);
   if (!fields) return std::nullopt;
   Register out;
   out.commands_ = std::get<0>(*fields);
@@ -59,15 +62,16 @@
   return out;
 }
 
-std::string writeCommand(const Command& c) {
-  return pack(CommandFields(c.key, c.value.has_value(), c.value.value_or(""), c.expected));
+std::string writeCommand(const Command& command) {
+  return pack(
+      CommandFields(command.key, command.value.has_value(), command.value.value_or(""), command.expected));
 }
 
 std::optional<Command> readCommand(std::string_view bytes) {
-  const auto fields = unpack<CommandFields>(bytes, Register::kMostValue + 1);
+  const auto fields = unpack<CommandFields>(bytes, Register::kMaxValueBytes + 1);
   if (!fields) return std::nullopt;
-  const auto& [key, set, value, expected] = *fields;
-  return Command{key, set ? std::optional(value) : std::nullopt, expected};
+  const auto& [key, hasValue, value, expected] = *fields;
+  return Command{key, hasValue ? std::optional(value) : std::nullopt, expected};
 }
 
 }  // namespace topazweir::agreement
--- a/src/agreement/register.hpp
+++ b/src/agreement/register.hpp
@@ -1,5 +1,6 @@
-// The fleet's decisions as all voters hold them: who has which role, which permits are out. Pure: commands in
-// the order that the voters agreed on, results out; the same commands give the same register everywhere.
+// The replicated state machine of the fleet: a key-value register of its decisions, such as who has which
+// role and which permits are granted. No I/O: voters apply the commands of the Raft log in order, and the
+// same commands give the same register everywhere.
 #pragma once
 
 #include <cstdint>
@@ -11,41 +12,45 @@
 
 namespace topazweir::agreement {
 
-// Sets the key, or takes it away where there is no value, if its fence is still the expected one: two that
-// both believe that they may change it can't both do so.
+// Compare-and-set: sets the key, or erases it if there is no value, provided that the key's fence is the
+// expected one. Of two members that both believe they may change a key, only one can succeed.
 struct Command {
   std::string key;
   std::optional<std::string> value;
-  std::uint64_t expected = 0;  // fence of the key; 0: it is not there
+  std::uint64_t expected = 0;  // fence of the key; 0: the key does not exist
 };
 
 struct Result {
-  bool done = false;
-  std::uint64_t fence = 0;  // of the key now; 0: it is not there
+  bool done = false;        // whether the command took effect
+  std::uint64_t fence = 0;  // current fence of the key; 0: the key does not exist
 };
 
 class Register {
  public:
   struct Held {
     std::string value;
-    std::uint64_t fence = 0;  // number of the command that set it: a later holder's is always higher
+    // Fencing token: the number of the command that set the value. A later holder's is always higher.
+    std::uint64_t fence = 0;
     bool operator==(const Held&) const = default;
   };
-  // Texts over kMostKey or kMostValue, and keys over kMost, are not taken.
+  // Applies a command. It has no effect if the fence does not match, the key is empty or longer than
+  // kMaxKeyBytes, the value is longer than kMaxValueBytes, or it would add a key beyond kMaxKeys.
   Result apply(const Command& command);
-  // Takes back the latest command, which was of this key: `before` is what stood there. A batch that turns
-  // out to be broken is undone by this, its latest command first.
+  // Reverts the latest command, which was for this key; `before` is the key's previous value. Used to roll
+  // back a batch that turns out to be invalid, from its last command to its first.
   void takeBack(const std::string& key, std::optional<Held> before);
 
-  const Held* find(std::string_view key) const;
+  const Held* find(std::string_view key) const;  // null: the key does not exist
   const std::map<std::string, Held, std::less<>>& all() const { return all_; }
-  std::uint64_t commands() const { return commands_; }  // ever applied
+  std::uint64_t commands() const { return commands_; }  // number ever applied, those without effect included
   bool operator==(const Register&) const = default;
 
   std::string write() const;
-  static std::optional<Register> read(std::string_view bytes);  // none: broken
+  static std::optional<Register> read(std::string_view bytes);  // none: malformed
 
-  static constexpr std::size_t kMostKey = 128, kMostValue = 4096, kMost = 16'384;
+  static constexpr std::size_t kMaxKeyBytes = 128;
+  static constexpr std::size_t kMaxValueBytes = 4096;
+  static constexpr std::size_t kMaxKeys = 16'384;
 
  private:
   std::map<std::string, Held, std::less<>> all_;
@@ -53,6 +58,6 @@
 };
 
 std::string writeCommand(const Command& command);
-std::optional<Command> readCommand(std::string_view bytes);
+std::optional<Command> readCommand(std::string_view bytes);  // none: malformed
 
 }  // namespace topazweir::agreement
--- a/src/agreement/store.hpp
+++ b/src/agreement/store.hpp
@@ -1,5 +1,5 @@
-// What a voter must not forget: its term, its vote and its log. Values and a port; a file is one store,
-// memory on a virtual disk another.
+// The persistent state of a Raft voter (term, vote, log and snapshot) and the interface through which it is
+// written. FileStore keeps it on disk, MemoryStore in memory.
 #pragma once
 
 #include <cstdint>
@@ -8,74 +8,80 @@
 
 namespace topazweir::agreement {
 
+// An entry of the replicated log.
 struct Entry {
   std::uint64_t term = 0;
-  int type = 0;  // as the library numbers them: command, barrier, change
+  int type = 0;  // the library's raft_entry_type: command, barrier or configuration change
   std::string bytes;
   bool operator==(const Entry&) const = default;
 };
 
-// All entries up to `index` at once.
+// The state after all entries up to and including `index`, which it replaces.
 struct Snapshot {
-  std::uint64_t index = 0, term = 0;
-  std::uint64_t configurationIndex = 0;  // of the entry that names the voters
+  std::uint64_t index = 0;
+  std::uint64_t term = 0;
+  std::uint64_t configurationIndex = 0;  // of the entry that holds the configuration (the list of voters)
   std::string bytes;
   bool operator==(const Snapshot&) const = default;
 };
 
-struct Saved {
-  std::uint64_t term = 0, vote = 0;  // vote: the voter's id, 0: none in this term
-  std::uint64_t first = 1;           // index of the first entry kept
+struct PersistentState {
+  std::uint64_t term = 0;
+  std::uint64_t vote = 0;        // id of the candidate voted for in this term; 0: none
+  std::uint64_t firstIndex = 1;  // of the first entry in `entries`
   std::vector<Entry> entries;
   Snapshot snapshot;  // index 0: none
-  std::uint64_t last() const { return first + entries.size() - 1; }
+  std::uint64_t lastIndex() const { return firstIndex + entries.size() - 1; }
 };
 
-// Each call returns once what it says is kept, or false: then the voter takes no part any more, since it
-// can't keep its word.
+// Each call returns true once the change is durable. After false the voter must stop taking part, since Raft
+// is safe only if terms, votes and entries survive a restart.
 class Store {
  public:
   virtual ~Store() = default;
-  virtual const Saved& saved() const = 0;
-  virtual bool setTerm(std::uint64_t term) = 0;  // a later one; the vote is none again
+  virtual const PersistentState& state() const = 0;
+  virtual bool setTerm(std::uint64_t term) = 0;  // to a later term; resets the vote
   virtual bool setVote(std::uint64_t vote) = 0;
   virtual bool append(const std::vector<Entry>& entries) = 0;
-  virtual bool truncate(std::uint64_t from) = 0;  // entries from this index on
-  // `trailing`: so many entries up to the snapshot's index are kept beside it; 0: none at all, nor later
-  // ones, since the snapshot is another voter's.
+  virtual bool truncate(std::uint64_t fromIndex) = 0;  // removes the entries from this index on
+  // `trailing`: the number of entries up to the snapshot's index that are kept beside it. 0: all entries are
+  // removed, later ones too, since the snapshot was received from another voter and replaces the log.
   virtual bool put(const Snapshot& snapshot, std::uint64_t trailing) = 0;
 };
 
-// Changes in memory; what a store on disk has read, and a virtual disk itself.
+// Keeps the state in memory only. FileStore holds what it has read and written in one; simulations use it as
+// a disk.
 class MemoryStore : public Store {
  public:
-  const Saved& saved() const override { return saved_; }
+  const PersistentState& state() const override { return state_; }
   bool setTerm(std::uint64_t term) override {
-    saved_.term = term, saved_.vote = 0;
+    state_.term = term;
+    state_.vote = 0;
     return true;
   }
   bool setVote(std::uint64_t vote) override {
-    saved_.vote = vote;
+    state_.vote = vote;
     return true;
   }
   bool append(const std::vector<Entry>& entries) override {
-    saved_.entries.insert(saved_.entries.end(), entries.begin(), entries.end());
+    state_.entries.insert(state_.entries.end(), entries.begin(), entries.end());
     return true;
   }
-  bool truncate(std::uint64_t from) override {
-    if (from >= saved_.first && from <= saved_.last()) saved_.entries.resize(from - saved_.first);
+  bool truncate(std::uint64_t fromIndex) override {
+    if (fromIndex >= state_.firstIndex && fromIndex <= state_.lastIndex())
+      state_.entries.resize(fromIndex - state_.firstIndex);
     return true;
   }
   bool put(const Snapshot& snapshot, std::uint64_t trailing) override;
-  // Nothing kept before this index but the snapshot; entries follow.
-  bool startAt(std::uint64_t first) {
-    saved_.first = first;
-    saved_.entries.clear();
+  // Removes all entries; the next one appended gets this index.
+  bool resetLog(std::uint64_t firstIndex) {
+    state_.firstIndex = firstIndex;
+    state_.entries.clear();
     return true;
   }
 
  private:
-  Saved saved_;
+  PersistentState state_;
 };
 
 }  // namespace topazweir::agreement
--- a/src/agreement/voter.cpp
+++ b/src/agreement/voter.cpp
@@ -13,62 +13,64 @@
 
 namespace {
 constexpr Nanos kMs = 1'000'000;
-constexpr raft_term kFirstTerm = 1;
+constexpr raft_term kFirstTerm = 1;  // of the entry with the initial configuration
 }  // namespace
 
-// The library's input and output as it wants them: each request is carried out at once and reported later,
-// from drain(), never from within the call that made it.
+// Implements libraft's I/O and state machine interfaces. Each request is carried out at once, but its
+// completion callback is deferred to runDeferred(): the library does not allow it within the requesting call.
 struct Voter::Impl {
-  Impl(const VoterOptions& given, Store& kept, Nanos at)
-      : options(given), store(kept), now(at), random(given.seed) {
+  Impl(const VoterOptions& voterOptions, Store& voterStore, Nanos startTime)
+      : options(voterOptions), store(voterStore), now(startTime), random(voterOptions.seed) {
     raft_configuration_init(&voters);
     for (const auto id : options.voters)
       if (raft_configuration_add(&voters, id, std::to_string(id).c_str(), RAFT_VOTER) != 0)
-        throw std::runtime_error("voter " + std::to_string(id) + " stands twice, or is 0");
+        throw std::runtime_error("voter " + std::to_string(id) + " is listed twice, or is 0");
     io.version = 1;
     io.impl = this;
     io.init = [](raft_io*, raft_id, const char*) { return 0; };
-    io.close = [](raft_io* i, raft_io_close_cb done) { of(i).later.push_back([i, done] { done(i); }); };
+    io.close = [](raft_io* i, raft_io_close_cb done) { self(i).deferred.push_back([i, done] { done(i); }); };
     io.load = load;
     io.start = [](raft_io* i, unsigned, raft_io_tick_cb tick, raft_io_recv_cb receive) {
-      of(i).onTick = tick, of(i).onReceive = receive;
+      self(i).onTick = tick;
+      self(i).onReceive = receive;
       return 0;
     };
     io.bootstrap = bootstrap;
     io.recover = [](raft_io*, const raft_configuration*) { return static_cast<int>(RAFT_IOERR); };
-    io.set_term = [](raft_io* i, raft_term term) { return of(i).must(of(i).store.setTerm(term)); };
-    io.set_vote = [](raft_io* i, raft_id id) { return of(i).must(of(i).store.setVote(id)); };
+    io.set_term = [](raft_io* i, raft_term term) { return self(i).check(self(i).store.setTerm(term)); };
+    io.set_vote = [](raft_io* i, raft_id id) { return self(i).check(self(i).store.setVote(id)); };
     io.send = send;
     io.append = append;
-    io.truncate = [](raft_io* i, raft_index from) { return of(i).must(of(i).store.truncate(from)); };
+    io.truncate = [](raft_io* i, raft_index from) { return self(i).check(self(i).store.truncate(from)); };
     io.snapshot_put = putSnapshot;
     io.snapshot_get = getSnapshot;
-    io.time = [](raft_io* i) { return static_cast<raft_time>(of(i).now / kMs); };
+    io.time = [](raft_io* i) { return static_cast<raft_time>(self(i).now / kMs); };
     io.random = [](raft_io* i, int least, int most) {
-      return least + static_cast<int>(of(i).random() % static_cast<unsigned>(std::max(1, most - least)));
+      return least + static_cast<int>(self(i).random() % static_cast<unsigned>(std::max(1, most - least)));
     };
     fsm.version = 1;
     fsm.data = this;
     fsm.apply = apply;
     fsm.snapshot = takeSnapshot;
     fsm.restore = restore;
-    must(raft_init(&raft, &io, &fsm, options.self, std::to_string(options.self).c_str()) == 0);
-    raft_set_election_timeout(&raft, static_cast<unsigned>(options.electionTime / kMs));
-    raft_set_heartbeat_timeout(&raft, static_cast<unsigned>(options.heartbeat / kMs));
-    // The library would wait half a minute for a snapshot that was lost on the way.
-    raft_set_install_snapshot_timeout(&raft, static_cast<unsigned>(2 * options.electionTime / kMs));
+    check(raft_init(&raft, &io, &fsm, options.self, std::to_string(options.self).c_str()) == 0);
+    raft_set_election_timeout(&raft, static_cast<unsigned>(options.electionTimeout / kMs));
+    raft_set_heartbeat_timeout(&raft, static_cast<unsigned>(options.heartbeatInterval / kMs));
+    // The library's default would wait 30 s for a snapshot that was lost in transit.
+    raft_set_install_snapshot_timeout(&raft, static_cast<unsigned>(2 * options.electionTimeout / kMs));
     raft_set_snapshot_threshold(&raft, options.snapshotEvery);
     raft_set_snapshot_trailing(&raft, options.trailing);
-    raft_set_pre_vote(&raft, true);  // one that was cut off does not unseat a leader when it is back
-    const auto& saved = store.saved();
-    const bool fresh = saved.term == 0 && saved.entries.empty() && saved.snapshot.index == 0;
-    if (fresh) must(raft_bootstrap(&raft, &voters) == 0);
-    must(raft_start(&raft) == 0);
-    drain();
+    // With pre-vote, a voter that returns from a partition does not depose the leader.
+    raft_set_pre_vote(&raft, true);
+    const auto& state = store.state();
+    const bool empty = state.term == 0 && state.entries.empty() && state.snapshot.index == 0;
+    if (empty) check(raft_bootstrap(&raft, &voters) == 0);
+    check(raft_start(&raft) == 0);
+    runDeferred();
     if (failed) {
       const std::string why = raft_errmsg(&raft);
       close();
-      throw std::runtime_error("the voter's store can't be used: " + why);
+      throw std::runtime_error("the voter's store cannot be used: " + why);
     }
   }
   ~Impl() { close(); }
@@ -78,98 +80,111 @@
   void close() {
     if (std::exchange(closed, true)) return;
     raft_close(&raft, nullptr);
-    drain();
+    runDeferred();
     raft_configuration_close(&voters);
   }
 
-  static Impl& of(raft_io* i) { return *static_cast<Impl*>(i->impl); }
-  static Impl& of(raft_fsm* f) { return *static_cast<Impl*>(f->data); }
-  int must(bool good) {
-    failed = failed || !good;
-    return good ? 0 : RAFT_IOERR;
+  static Impl& self(raft_io* i) { return *static_cast<Impl*>(i->impl); }
+  static Impl& self(raft_fsm* f) { return *static_cast<Impl*>(f->data); }
+  // Returns the library's status for the result of an operation; a failure is permanent.
+  int check(bool success) {
+    failed = failed || !success;
+    return success ? 0 : RAFT_IOERR;
   }
-  void drain() {
-    while (!later.empty()) {
-      const auto next = std::move(later.front());
-      later.pop_front();
+  void runDeferred() {
+    while (!deferred.empty()) {
+      const auto next = std::move(deferred.front());
+      deferred.pop_front();
       next();
     }
   }
-  Step turn(Nanos at, const std::function<void()>& what) {
-    now = std::max(now, at);
-    if (!failed) what();
-    drain();
+  // Runs `action` and all callbacks that follow from it; returns what they have produced.
+  Step advance(Nanos time, const std::function<void()>& action) {
+    now = std::max(now, time);
+    if (!failed) action();
+    runDeferred();
     return std::exchange(step, {});
   }
 
   static int load(raft_io* i, raft_term* term, raft_id* vote, raft_snapshot** snapshot, raft_index* first,
                   raft_entry** entries, std::size_t* count) {
-    const auto& saved = of(i).store.saved();
-    *term = saved.term, *vote = saved.vote, *first = saved.first;
-    *snapshot = saved.snapshot.index > 0 ? of(i).copy(saved.snapshot) : nullptr;
-    raft_message all{};  // read as a message is, for the memory to be as the library wants it
-    raft_append_entries whole{};
+    const auto& state = self(i).store.state();
+    *term = state.term;
+    *vote = state.vote;
+    *first = state.firstIndex;
+    *snapshot = state.snapshot.index > 0 ? self(i).allocateCopy(state.snapshot) : nullptr;
+    // The entries are encoded and decoded as a message, so that their memory is laid out as the library
+    // expects it.
+    raft_message message{};
+    raft_append_entries request{};
     std::vector<raft_entry> views;
-    for (const auto& e : saved.entries)
+    for (const auto& e : state.entries)
       views.push_back({e.term,
                        static_cast<unsigned short>(e.type),
                        {const_cast<char*>(e.bytes.data()), e.bytes.size()},
                        nullptr});
-    whole.entries = views.data(), whole.n_entries = static_cast<unsigned>(views.size());
-    all.type = RAFT_IO_APPEND_ENTRIES, all.append_entries = whole;
+    request.entries = views.data();
+    request.n_entries = static_cast<unsigned>(views.size());
+    message.type = RAFT_IO_APPEND_ENTRIES;
+    message.append_entries = request;
     raft_message copied{};
-    if (!readMessage(writeMessage(all), of(i).voters, copied)) return of(i).must(false);
-    *entries = copied.append_entries.entries, *count = copied.append_entries.n_entries;
+    if (!readMessage(writeMessage(message), self(i).voters, copied)) return self(i).check(false);
+    *entries = copied.append_entries.entries;
+    *count = copied.append_entries.n_entries;
     return 0;
   }
   static int bootstrap(raft_io* i, const raft_configuration* voters) {
     raft_buffer buffer{};
-    if (raft_configuration_encode(voters, &buffer) != 0) return of(i).must(false);
+    if (raft_configuration_encode(voters, &buffer) != 0) return self(i).check(false);
     const Entry first{kFirstTerm, RAFT_CHANGE, {static_cast<const char*>(buffer.base), buffer.len}};
     raft_free(buffer.base);
-    return of(i).must(of(i).store.setTerm(kFirstTerm) && of(i).store.append({first}));
+    return self(i).check(self(i).store.setTerm(kFirstTerm) && self(i).store.append({first}));
   }
-  // libraft 0.15 reports its last entry after every request that it has taken, also where later entries than
-  // those of the request stand behind it, which another leader may have left there; the leader would count
-  // these as its own. Figure 2 of the paper counts what the request has shown to match.
+  // libraft 0.15 acknowledges every accepted AppendEntries request with the index of its last entry, even if
+  // its log has further entries after those of the request. Another leader may have left them, and the
+  // current leader would count them as replicated. As in figure 2 of the paper, only the index up to which
+  // the request has shown the logs to match is acknowledged.
   static int send(raft_io* i, raft_io_send* request, const raft_message* message, raft_io_send_cb done) {
-    auto honest = *message;
-    if (honest.type == RAFT_IO_APPEND_ENTRIES_RESULT && honest.append_entries_result.rejected == 0) {
-      auto& last = honest.append_entries_result.last_log_index;
-      last = std::min(last, of(i).matched);
+    auto corrected = *message;
+    if (corrected.type == RAFT_IO_APPEND_ENTRIES_RESULT && corrected.append_entries_result.rejected == 0) {
+      auto& last = corrected.append_entries_result.last_log_index;
+      last = std::min(last, self(i).matchIndex);
     }
-    of(i).step.out.push_back({message->server_id, writeMessage(honest)});
-    of(i).later.push_back([=] { done(request, 0); });
+    self(i).step.out.push_back({message->server_id, writeMessage(corrected)});
+    self(i).deferred.push_back([=] { done(request, 0); });
     return 0;
   }
   static int append(raft_io* i, raft_io_append* request, const raft_entry* entries, unsigned count,
                     raft_io_append_cb done) {
-    std::vector<Entry> kept;
+    std::vector<Entry> added;
     for (unsigned k = 0; k < count; ++k)
-      kept.push_back({entries[k].term,
-                      entries[k].type,
-                      {static_cast<const char*>(entries[k].buf.base), entries[k].buf.len}});
-    const int status = of(i).must(of(i).store.append(kept));
-    of(i).later.push_back([=] { done(request, status); });
+      added.push_back({entries[k].term,
+                       entries[k].type,
+                       {static_cast<const char*>(entries[k].buf.base), entries[k].buf.len}});
+    const int status = self(i).check(self(i).store.append(added));
+    self(i).deferred.push_back([=] { done(request, status); });
     return 0;
   }
-  static int putSnapshot(raft_io* i, unsigned trailing, raft_io_snapshot_put* request, const raft_snapshot* s,
-                         raft_io_snapshot_put_cb done) {
-    Snapshot kept{s->index, s->term, s->configuration_index, {}};
-    for (unsigned k = 0; k < s->n_bufs; ++k)
-      kept.bytes.append(static_cast<const char*>(s->bufs[k].base), s->bufs[k].len);
-    const int status = of(i).must(of(i).store.put(kept, trailing));
-    of(i).later.push_back([=] { done(request, status); });
+  static int putSnapshot(raft_io* i, unsigned trailing, raft_io_snapshot_put* request,
+                         const raft_snapshot* from, raft_io_snapshot_put_cb done) {
+    Snapshot snapshot{from->index, from->term, from->configuration_index, {}};
+    for (unsigned k = 0; k < from->n_bufs; ++k)
+      snapshot.bytes.append(static_cast<const char*>(from->bufs[k].base), from->bufs[k].len);
+    const int status = self(i).check(self(i).store.put(snapshot, trailing));
+    self(i).deferred.push_back([=] { done(request, status); });
     return 0;
   }
   static int getSnapshot(raft_io* i, raft_io_snapshot_get* request, raft_io_snapshot_get_cb done) {
-    auto* copied = of(i).copy(of(i).store.saved().snapshot);
-    of(i).later.push_back([=] { done(request, copied, 0); });
+    auto* copied = self(i).allocateCopy(self(i).store.state().snapshot);
+    self(i).deferred.push_back([=] { done(request, copied, 0); });
     return 0;
   }
-  raft_snapshot* copy(const Snapshot& from) const {
+  // A copy whose memory the library frees.
+  raft_snapshot* allocateCopy(const Snapshot& from) const {
     auto* out = static_cast<raft_snapshot*>(raft_calloc(1, sizeof(raft_snapshot)));
-    out->index = from.index, out->term = from.term, out->configuration_index = from.configurationIndex;
+    out->index = from.index;
+    out->term = from.term;
+    out->configuration_index = from.configurationIndex;
     copyConfiguration(voters, out->configuration);
     out->bufs = static_cast<raft_buffer*>(raft_malloc(sizeof(raft_buffer)));
     out->bufs[0] = bufferOf(from.bytes);
@@ -178,56 +193,57 @@
   }
 
   static int apply(raft_fsm* f, const raft_buffer* buffer, void** result) {
-    auto& self = of(f);
+    auto& impl = self(f);
     auto command = readCommand({static_cast<const char*>(buffer->base), buffer->len});
-    self.lastResult = command ? self.held.apply(*command) : Result{};
-    if (command) self.step.applied.push_back(std::move(*command));
-    *result = &self.lastResult;
+    impl.lastResult = command ? impl.held.apply(*command) : Result{};
+    if (command) impl.step.applied.push_back(std::move(*command));
+    *result = &impl.lastResult;
     return 0;
   }
   static int takeSnapshot(raft_fsm* f, raft_buffer** buffers, unsigned* count) {
     *buffers = static_cast<raft_buffer*>(raft_malloc(sizeof(raft_buffer)));
-    (*buffers)[0] = bufferOf(of(f).held.write());
+    (*buffers)[0] = bufferOf(self(f).held.write());
     *count = 1;
     return 0;
   }
   static int restore(raft_fsm* f, raft_buffer* buffer) {
     auto read = Register::read({static_cast<const char*>(buffer->base), buffer->len});
     if (!read) return RAFT_MALFORMED;
-    of(f).held = std::move(*read);
-    of(f).step.applied.clear();
+    self(f).held = std::move(*read);
+    self(f).step.applied.clear();
     raft_free(buffer->base);
     return 0;
   }
 
-  // What its own snapshot holds was agreed on and matches any leader's log, but is no longer there to compare
-  // with: the library would reject the request, be sent a snapshot that is older than its own, and so on for
-  // ever.
-  void passSnapshot(raft_append_entries& a) const {
-    const auto& snapshot = store.saved().snapshot;
-    if (a.prev_log_index >= snapshot.index) return;
-    const auto passed =
-        static_cast<unsigned>(std::min<std::uint64_t>(snapshot.index - a.prev_log_index, a.n_entries));
-    a.prev_log_index = snapshot.index, a.prev_log_term = snapshot.term;
-    if (passed == a.n_entries && passed > 0) {
-      raft_free(a.entries[0].batch);
-      raft_free(a.entries);
-      a.entries = nullptr;
+  // Removes the entries that this voter's snapshot already contains from a request. They are committed and so
+  // match any leader's log, but are no longer there to compare with: the library would reject the request,
+  // the leader would send a snapshot older than the voter's own, and this would repeat for ever.
+  void skipSnapshotEntries(raft_append_entries& request) const {
+    const auto& snapshot = store.state().snapshot;
+    if (request.prev_log_index >= snapshot.index) return;
+    const auto skipped = static_cast<unsigned>(
+        std::min<std::uint64_t>(snapshot.index - request.prev_log_index, request.n_entries));
+    request.prev_log_index = snapshot.index;
+    request.prev_log_term = snapshot.term;
+    if (skipped == request.n_entries && skipped > 0) {
+      raft_free(request.entries[0].batch);
+      raft_free(request.entries);
+      request.entries = nullptr;
     } else {
-      std::copy(a.entries + passed, a.entries + a.n_entries, a.entries);
+      std::copy(request.entries + skipped, request.entries + request.n_entries, request.entries);
     }
-    a.n_entries -= passed;
+    request.n_entries -= skipped;
   }
-  // Notes up to where an accepted request has shown the logs to match, and bounds the commit index by it: the
-  // library would bound it by its last entry, whoever wrote that.
-  void bound(raft_message& message) {
-    matched = 0;
-    if (message.type == RAFT_IO_INSTALL_SNAPSHOT) matched = message.install_snapshot.last_index;
+  // Sets matchIndex, up to which the request shows the logs to match if it is accepted, and limits the commit
+  // index to it. The library would limit it to the voter's last entry, whichever leader wrote that.
+  void limitCommitIndex(raft_message& message) {
+    matchIndex = 0;
+    if (message.type == RAFT_IO_INSTALL_SNAPSHOT) matchIndex = message.install_snapshot.last_index;
     if (message.type != RAFT_IO_APPEND_ENTRIES) return;
-    auto& a = message.append_entries;
-    passSnapshot(a);
-    matched = a.prev_log_index + a.n_entries;
-    a.leader_commit = std::min(a.leader_commit, matched);
+    auto& request = message.append_entries;
+    skipSnapshotEntries(request);
+    matchIndex = request.prev_log_index + request.n_entries;
+    request.leader_commit = std::min(request.leader_commit, matchIndex);
   }
 
   struct Proposal {
@@ -237,19 +253,20 @@
   };
   bool propose(const Command& command, std::uint64_t token) {
     auto proposal = std::make_unique<Proposal>();
-    proposal->impl = this, proposal->token = token;
+    proposal->impl = this;
+    proposal->token = token;
     proposal->request.data = proposal.get();
     const auto buffer = bufferOf(writeCommand(command));
     const auto done = [](struct raft_apply* request, int status, void* result) {
-      const std::unique_ptr<Proposal> own(static_cast<Proposal*>(request->data));
+      const std::unique_ptr<Proposal> owned(static_cast<Proposal*>(request->data));
       const auto value = status == 0 ? *static_cast<Result*>(result) : Result{};
-      own->impl->step.outcomes.push_back({own->token, status != 0, value});
+      owned->impl->step.outcomes.push_back({owned->token, status != 0, value});
     };
     if (raft_apply(&raft, &proposal->request, &buffer, 1, done) != 0) {
       raft_free(buffer.base);
       return false;
     }
-    static_cast<void>(proposal.release());  // given back with its outcome
+    static_cast<void>(proposal.release());  // freed with its outcome
     return true;
   }
 
@@ -265,10 +282,11 @@
   raft_io_recv_cb onReceive = nullptr;
   Register held;
   Result lastResult;
-  raft_index matched = 0;  // by the request that is being answered
-  Step step;
-  std::deque<std::function<void()>> later;
-  bool failed = false, closed = false;
+  raft_index matchIndex = 0;  // last index shown to match by the request that is being handled
+  Step step;                  // what the current call returns
+  std::deque<std::function<void()>> deferred;  // completion callbacks
+  bool failed = false;  // the store or the library has failed; the voter no longer takes part
+  bool closed = false;
 };
 
 Voter::Voter(const VoterOptions& options, Store& store, Nanos now)
@@ -276,26 +294,27 @@
 Voter::~Voter() = default;
 
 Voter::Step Voter::tick(Nanos now) {
-  return impl_->turn(now, [&] { impl_->onTick(&impl_->io); });
+  return impl_->advance(now, [&] { impl_->onTick(&impl_->io); });
 }
 
 Voter::Step Voter::received(VoterId from, std::string_view bytes, Nanos now) {
-  return impl_->turn(now, [&] {
+  return impl_->advance(now, [&] {
     raft_message message{};
     const auto& voters = impl_->options.voters;
     const bool known = std::find(voters.begin(), voters.end(), from) != voters.end();
     if (!known || !readMessage(bytes, impl_->voters, message)) return;
     const auto address = std::to_string(from);
-    message.server_id = from, message.server_address = address.c_str();
-    impl_->bound(message);
+    message.server_id = from;
+    message.server_address = address.c_str();
+    impl_->limitCommitIndex(message);
     impl_->onReceive(&impl_->io, &message);
   });
 }
 
 std::optional<Voter::Step> Voter::propose(const Command& command, std::uint64_t token, Nanos now) {
-  bool taken = false;
-  auto step = impl_->turn(now, [&] { taken = impl_->propose(command, token); });
-  return taken ? std::optional(std::move(step)) : std::nullopt;
+  bool accepted = false;
+  auto step = impl_->advance(now, [&] { accepted = impl_->propose(command, token); });
+  return accepted ? std::optional(std::move(step)) : std::nullopt;
 }
 
 bool Voter::leads() const { return !impl_->failed && raft_state(&impl_->raft) == RAFT_LEADER; }
--- a/src/agreement/voter.hpp
+++ b/src/agreement/voter.hpp
@@ -1,5 +1,6 @@
-// One voter of the fleet's agreement: Raft (Ongaro, Ousterhout 2014) by libraft's core, on whatever clock and
-// wire it is given. Bytes and `now` in, bytes and results out; it keeps its word in the store alone.
+// One voter of the fleet's Raft group (Ongaro, Ousterhout 2014), built on libraft's core. It has no clock and
+// no network of its own: time and received messages are passed in, messages to send and results are returned.
+// Its persistent state is in the Store alone.
 #pragma once
 
 #include <functional>
@@ -18,10 +19,13 @@
 
 struct VoterOptions {
   VoterId self = 0;
-  std::vector<VoterId> voters;         // all, this one among them
-  Nanos electionTime = 1'000'000'000;  // without word of a leader, drawn up to twice that
-  Nanos heartbeat = 200'000'000;
-  unsigned snapshotEvery = 512, trailing = 64;  // entries
+  std::vector<VoterId> voters;  // all of them, including this one
+  // Election timeout: time without a heartbeat after which an election starts, randomised between this and
+  // twice as much.
+  Nanos electionTimeout = 1'000'000'000;
+  Nanos heartbeatInterval = 200'000'000;
+  unsigned snapshotEvery = 512;  // entries between two snapshots
+  unsigned trailing = 64;        // entries kept before a snapshot
   std::uint64_t seed = 1;
 };
 
@@ -31,8 +35,8 @@
     VoterId to = 0;
     std::string bytes;
   };
-  // What has become of a proposal. `lost`: another leader's word stands in its place, or it is not known; the
-  // one who proposed has to look into the register.
+  // The result of a proposal. `lost`: another leader's entry took its place, or the result is unknown; the
+  // proposer has to look into the register.
   struct Outcome {
     std::uint64_t token = 0;
     bool lost = false;
@@ -41,27 +45,28 @@
   struct Step {
     std::vector<Out> out;
     std::vector<Outcome> outcomes;
-    // Applied to the register, in order, those without effect included; none from before a snapshot that was
-    // put in its place whole. What can't be read as a command changes nothing and isn't counted.
+    // The commands applied to the register, in order, including those without effect. After a snapshot that
+    // replaced the register, only the commands since. An entry that cannot be decoded as a command changes
+    // nothing and is not counted.
     std::vector<Command> applied;
   };
 
-  // `store`: empty, or what this voter has kept; must outlive it. Throws std::runtime_error where the store
-  // can't be used.
+  // `store`: empty, or the state that this voter has saved; must outlive the voter. Throws std::runtime_error
+  // if the store cannot be used or if a voter's id is 0 or repeated.
   Voter(const VoterOptions& options, Store& store, Nanos now);
   ~Voter();
   Voter(const Voter&) = delete;
   Voter& operator=(const Voter&) = delete;
 
-  Step tick(Nanos now);                                            // a few times a heartbeat
-  Step received(VoterId from, std::string_view bytes, Nanos now);  // broken bytes are passed over
-  // None: this is not the leader. Else an outcome follows, for as long as this voter lives.
+  Step tick(Nanos now);                                            // to be called several times per heartbeat
+  Step received(VoterId from, std::string_view bytes, Nanos now);  // malformed messages are ignored
+  // None: this voter is not the leader. Otherwise an outcome with this token follows while this voter lives.
   std::optional<Step> propose(const Command& command, std::uint64_t token, Nanos now);
 
   bool leads() const;
   VoterId leader() const;  // 0: not known
   std::uint64_t term() const;
-  bool works() const;  // false: its store has failed, and it takes no part
+  bool works() const;  // false: its store has failed, and it no longer takes part
   const Register& held() const;
 
  private:
--- a/src/fleet/codec.hpp
+++ b/src/fleet/codec.hpp
@@ -1,7 +1,8 @@
-// Messages between aggregators as bytes: MessagePack (https://github.com/msgpack/msgpack, spec.md). A message
-// is an array: "tw", the form's version, the fleet's name, kind, sender, from, about, sequence, load,
-// records. What a later minor form puts behind the known elements of an array is passed over; another
-// version, another fleet and what is broken are told apart, for the counters.
+// Serialisation of the messages between aggregators, in MessagePack
+// (https://github.com/msgpack/msgpack, spec.md). A message is an array: "tw", format version, fleet name,
+// kind, sender, from, about, sequence, load, records, payload. Further elements at the end of an array, as a
+// later minor version may add, are ignored. Malformed messages, those of another fleet and those of another
+// format version are distinguished for the counters.
 #pragma once
 
 #include <string>
@@ -12,22 +13,23 @@
 
 namespace topazweir::fleet {
 
+// Why a message was not decoded: malformed, of another fleet or program, of another format version.
 enum class Unread { broken, foreign, otherVersion };
 
-inline constexpr int kForm = 1;
-inline constexpr std::size_t kMostRecords = 8192;            // in one message
-inline constexpr std::size_t kMostStream = 2 * 1024 * 1024;  // bytes of one message by stream
+inline constexpr int kFormatVersion = 1;
+inline constexpr std::size_t kMaxRecords = 8192;                        // in one message
+inline constexpr std::size_t kMaxStreamMessageBytes = 2 * 1024 * 1024;  // of one message sent by stream
 
 std::string encode(const membership::Message& message, std::string_view fleet);
-// Throws nothing, whatever the bytes are. Texts over membership::kMostText, states and kinds that are not
-// known and numbers out of range are broken.
+// Never throws. Strings over membership::kMostText bytes, unknown states and kinds and numbers out of range
+// count as malformed.
 std::variant<membership::Message, Unread> decode(std::string_view bytes, std::string_view fleet);
 
-// A message by stream: its length in four bytes, big end first, then the message.
+// A message as sent by stream: its length in bytes as a 4-byte big-endian number, then the message.
 std::string framed(std::string_view message);
-// Of the bytes of a stream: the length of the message that begins there; npos: not known yet. Over
-// kMostStream: no such message is read.
-std::size_t lengthOf(std::string_view stream);
-inline constexpr std::size_t kFrameHead = 4;
+// Length in bytes of the message at the start of a stream; npos: not known yet. Lengths over
+// kMaxStreamMessageBytes are to be rejected by the caller.
+std::size_t messageLength(std::string_view stream);
+inline constexpr std::size_t kFrameHead = 4;  // bytes of the length in front of a message
 
 }  // namespace topazweir::fleet
--- a/src/fleet/council.hpp
+++ b/src/fleet/council.hpp
@@ -1,6 +1,7 @@
-// This aggregator's part in the fleet's agreement, where it is a voter: its word on disk, what it says to the
-// other voters, and what a leader writes into the register by itself: when this state of the voters began,
-// and the one role that is always held, the coordinator's. Decides nothing that the register does not.
+// This aggregator's membership in the fleet's Raft group, if it is a voter: its persistent state, the
+// messages to the other voters, and the commands that a leader proposes by itself. These are the generation,
+// the time at which this state of the voters began, and the role of coordinator, which always has a holder.
+// Makes no decision that is not in the register.
 #pragma once
 
 #include <memory>
@@ -21,17 +22,17 @@
     std::string to;  // a voter's name
     std::string bytes;
   };
-  // Who coordinates what the fleet does as one, by the register: the leader, under a fence that only rises.
+  // Key of the register that names the fleet's coordinator: the leader, with a fence that only increases.
   static constexpr const char* kCoordinator = "role/coordinator";
 
-  // Throws std::runtime_error, in words, where its state can't be used.
+  // Throws std::runtime_error with a readable message if the persistent state cannot be used.
   Council(const config::Membership& config, std::uint64_t seed, Nanos now);
 
   std::vector<Out> tick(Nanos now);
-  // Of another voter. Bytes that are none, or of voters that are configured otherwise, are passed over:
-  // false.
+  // Handles a message of another voter. False: ignored, since the sender is not a voter here, or its list of
+  // voters is another one.
   bool received(const std::string& from, std::string_view bytes, Nanos now, std::vector<Out>& out);
-  // False: this voter does not lead. Whether it was done, the register shows.
+  // False: this voter is not the leader. Whether the command took effect is to be seen in the register.
   bool propose(const agreement::Command& command, Nanos now, std::vector<Out>& out);
 
   std::string leader() const;  // empty: not known
@@ -39,24 +40,24 @@
   bool works() const { return voter_->works(); }
   std::uint64_t term() const { return voter_->term(); }
   const agreement::Register& held() const { return voter_->held(); }
-  // What has been applied to it since the last call, in order. Where a snapshot has come in between, fewer
-  // than its number of commands has risen by.
+  // The commands applied to the register since the last call, in order. If a snapshot has been installed
+  // since, these are fewer than the increase of its number of commands.
   std::vector<agreement::Command> takeApplied() { return std::exchange(applied_, {}); }
-  std::size_t cutOff() const { return store_.cutOff(); }  // bytes of its state that had not come in whole
+  std::size_t truncatedBytes() const { return store_.truncatedBytes(); }  // of an incomplete last record
 
  private:
-  std::vector<Out> carry(agreement::Voter::Step step);
-  void claim(Nanos now, std::vector<Out>& out);
-  std::optional<agreement::Command> due(Nanos now) const;
+  std::vector<Out> collect(agreement::Voter::Step step);
+  void proposeDueCommand(Nanos now, std::vector<Out>& out);
+  std::optional<agreement::Command> dueCommand(Nanos now) const;
 
   std::string self_;
-  std::vector<std::string> names_;  // by id, from 1: in the order of the names, the same for all
-  std::string mark_;                // of the voters' names
+  std::vector<std::string> names_;  // by id, from 1; sorted, so that ids are the same at all voters
+  std::string groupTag_;            // checksum of the voters' names, sent before each message
   agreement::FileStore store_;
   std::unique_ptr<agreement::Voter> voter_;
   std::vector<agreement::Command> applied_;
-  std::uint64_t claims_ = 0;
-  bool claiming_ = false;  // one proposal is out at a time
+  std::uint64_t lastToken_ = 0;   // of this voter's own proposals, from 1
+  bool proposalPending_ = false;  // at most one own proposal at a time
 };
 
 }  // namespace topazweir::fleet
--- a/src/fleet/side.hpp
+++ b/src/fleet/side.hpp
@@ -1,5 +1,6 @@
-// Membership, wired together: the detector on one side, sockets and the log on the other. Decides nothing:
-// src/membership does.
+// The fleet service: connects the failure detector, the Raft group and the dissemination of its register to
+// sockets, timers, the log and the operators' calls. The decisions are made in src/membership, src/agreement
+// and src/dissemination.
 #pragma once
 
 #include <functional>
@@ -20,122 +21,138 @@
 
 namespace topazweir::fleet {
 
-// The aggregator, as the fleet sees and moves it.
+// What the fleet service needs from its aggregator.
 class Host {
  public:
   virtual ~Host() = default;
   virtual membership::LoadMeter::Totals load() const = 0;
-  virtual void shares(const membership::Share& share) = 0;  // of limits on what all send; called on a change
-  virtual bool accompanied() const = 0;  // another process of this aggregator is there: it may still speak
+  // Called when this member's share of the fleet-wide sending limits changes.
+  virtual void shares(const membership::Share& share) = 0;
+  // Whether another process of this aggregator is running, which may still hold the address.
+  virtual bool accompanied() const = 0;
 };
 
 struct Counters {
-  std::uint64_t sent = 0, received = 0, sentBytes = 0, receivedBytes = 0;  // datagrams
-  std::uint64_t broken = 0, foreign = 0, otherVersion = 0, unsent = 0;
-  std::uint64_t votersDiffer = 0;    // messages between voters that are configured otherwise
-  std::uint64_t registerAsked = 0;   // a voter, for the whole register
-  std::uint64_t registerTaken = 0;   // of a voter's answer, since it was later than what is held
-  std::uint64_t changesForeign = 0;  // messages of the dissemination by who is no member known here
+  // Datagrams and their bytes.
+  std::uint64_t sent = 0;
+  std::uint64_t received = 0;
+  std::uint64_t sentBytes = 0;
+  std::uint64_t receivedBytes = 0;
+  // Messages that could not be decoded, by reason (see Unread).
+  std::uint64_t broken = 0;
+  std::uint64_t foreign = 0;
+  std::uint64_t otherVersion = 0;
+  std::uint64_t unsent = 0;          // datagrams that the socket did not accept
+  std::uint64_t votersDiffer = 0;    // Raft messages ignored since the sender has another list of voters
+  std::uint64_t registerAsked = 0;   // requests to a voter for the whole register
+  std::uint64_t registerTaken = 0;   // registers adopted from a voter's reply, since they were newer
+  std::uint64_t changesForeign = 0;  // dissemination messages of senders that are not known members
 };
 
-// Behind a member's version, as semantic versioning's build metadata: it reads the dissemination's messages.
-// Members without it are left out of the tree; they would count these as broken.
+// Appended to a member's version, as build metadata of semantic versioning, if it can read the
+// dissemination's messages. Members without it are left out of the tree; they would count these messages as
+// malformed.
 inline constexpr std::string_view kDisseminates = "+d1";
 
 class Side {
  public:
-  // `usual`: by how many limits are divided, and this one's place, before anybody is known. Speaks from
-  // start() on. Throws config::ConfigError where its address can't be had and no other process of this
-  // aggregator is there that may have it.
+  // `initialShare`: the share of fleet-wide limits, with this aggregator's index, until other members are
+  // known. Nothing is sent before start().
   Side(net::Loop& loop, broker::Log& log, const config::Membership& config, const std::string& version,
-       std::uint64_t seed, membership::Share usual, Host& host);
+       std::uint64_t seed, membership::Share initialShare, Host& host);
   ~Side();
   Side(const Side&) = delete;
   Side& operator=(const Side&) = delete;
 
+  // Starts listening and joins the fleet. If another process of this aggregator still holds the address, this
+  // is retried until it is free. Throws config::ConfigError if it cannot listen on the address otherwise, or
+  // if the voter's persistent state cannot be used.
   void start();
+  // Sets the duty that this member announces.
   void says(membership::Duty duty) { detector_.says(duty); }
-  void leave();  // in order; says nothing afterwards
-  void stop();   // says nothing more: a younger process speaks for this aggregator
+  void leave();  // announces that this member leaves, then stops
+  void stop();   // stops without an announcement: another process continues for this aggregator
 
-  // A change of the register, where this is the voter that leads; false elsewhere.
+  // Proposes a change of the register; false: this member is not the leader.
   bool propose(const agreement::Command& command);
-  // Commands in the register as it is held here.
-  std::uint64_t commands() const { return council_ || follower_ ? held().commands() : 0; }
+  // Number of commands applied to the register held here.
+  std::uint64_t commands() const { return raftGroup_ || follower_ ? currentRegister().commands() : 0; }
 
-  // Calls of operators: "members", "members explain NAME", "members register". None: the line is another
-  // call.
+  // Answers the operators' calls "members", "members explain NAME" and "members register". None: the line is
+  // another call.
   std::optional<std::string> answer(std::string_view line) const;
   const config::Membership& config() const { return config_; }
   const membership::Detector& detector() const { return detector_; }
-  membership::Standing standing() const { return standing_; }
-  const Council* council() const { return council_ ? &*council_ : nullptr; }  // none: it is no voter
-  const dissemination::Disseminator* disseminator() const { return disseminator_.get(); }  // none: no voters
-  // Of the register as it is held here, and since when a voter that knew of a leader last vouched for that;
-  // negative: never.
+  membership::Standing standing() const { return membershipState_; }
+  const Council* council() const { return raftGroup_ ? &*raftGroup_ : nullptr; }  // null: not a voter
+  const dissemination::Disseminator* disseminator() const { return disseminator_.get(); }  // null: no voters
+  // Position of the register held here.
   dissemination::Position position() const;
+  // Time since a voter that knew of a leader last confirmed the register held here; negative: never.
   Nanos registerAge() const;
   const Counters& counters() const { return counters_; }
-  const Streams* streams() const { return streams_ ? &*streams_ : nullptr; }  // none: it does not listen
+  const Streams* streams() const { return streams_ ? &*streams_ : nullptr; }  // null: not listening
   std::string print() const;  // counters, as "name value" lines
 
  private:
-  bool open();
-  void startLater();
-  void openCouncil();
-  void listen();
+  bool openSockets();
+  void retryStart();
+  void openRaftGroup();
+  void joinFleet();
   void tick();
-  std::optional<membership::Message> read(std::string_view bytes);
+  std::optional<membership::Message> decodeMessage(std::string_view bytes);
   void onDatagram(std::string_view bytes);
-  std::string onStream(std::string_view bytes);
-  void carryOut(membership::Step step, std::string* reply = nullptr);
+  std::string onStreamMessage(std::string_view bytes);
+  void applyStep(membership::Step step, std::string* reply = nullptr);
   void send(const membership::Out& out);
-  void onAgreement(const membership::Message& message);
-  void tell(const std::vector<Council::Out>& messages);
-  std::string addressOf(const std::string& voter) const;
-  std::uint64_t knownTo(const membership::Message& question) const;
-  std::string answerTo(const membership::Message& question);
-  void onDissemination(const membership::Message& message);
-  void disseminate();
-  void handOn();
-  void tell(const std::vector<dissemination::Out>& messages);
-  void showView();
-  void follow();
-  void takeAnswer(const membership::Message& answer);
-  bool led() const;
-  bool keepsRegister() const { return council_ || follower_; }
-  const agreement::Register& held() const;
-  void lookAtRegister();
-  void lookAtTree();
-  void lookAround();
-  std::string table() const;
-  std::string explain(const std::string& name) const;
-  std::string registered() const;
-  std::string inForce() const;
+  void onRaftMessage(const membership::Message& message);
+  void sendRaftMessages(const std::vector<Council::Out>& messages);
+  std::string voterAddress(const std::string& voter) const;
+  std::uint64_t commandsKnownTo(const membership::Message& request) const;
+  std::string replyToFollower(const membership::Message& request);
+  void onDisseminationMessage(const membership::Message& message);
+  void tickDissemination();
+  void forwardApplied();
+  void sendDissemination(const std::vector<dissemination::Out>& messages);
+  void updateDisseminationView();
+  void pollVoters();
+  void onFollowerReply(const membership::Message& reply);
+  bool leaderKnown() const;
+  bool holdsRegister() const { return raftGroup_ || follower_; }
+  const agreement::Register& currentRegister() const;
+  void logRegisterChanges();
+  void logDisseminationChanges();
+  void updateMembershipState();
+  std::string membersText() const;
+  std::string explainMember(const std::string& name) const;
+  std::string registerText() const;
+  std::string propagationText() const;
 
   net::Loop& loop_;
   broker::Log& log_;
   config::Membership config_;
   Host& host_;
   membership::Detector detector_;
-  membership::LoadMeter meter_;
+  membership::LoadMeter loadMeter_;
   membership::Sharers sharers_;
   membership::Share share_;
   std::uint64_t seed_;
-  membership::Standing standing_ = membership::Standing::alone;
+  membership::Standing membershipState_ = membership::Standing::alone;
   std::optional<net::Datagrams> datagrams_;
   std::optional<Streams> streams_;
-  std::optional<Council> council_;  // where it is a voter
-  // Where voters are named. The register comes to the others by dissemination; by asking only while that does
-  // not reach them.
+  std::optional<Council> raftGroup_;  // if this is a voter
+  // If voters are configured. Members that are not voters get the register by dissemination, and request it
+  // from a voter (follower_) only while the dissemination does not reach them.
   std::unique_ptr<dissemination::Disseminator> disseminator_;
-  std::optional<agreement::Follower> follower_;  // where it is no voter
+  std::optional<agreement::Follower> follower_;  // if this is not a voter
   Nanos startedAt_ = 0;
-  bool viewChanged_ = false;    // since it was shown to the dissemination
-  std::string coordinator_;     // as it was last shown, with its fence
-  std::string parent_;          // likewise
-  std::uint64_t diverged_ = 0;  // likewise
-  bool worked_ = true, stale_ = false;
+  bool viewChanged_ = false;  // since the dissemination got the view
+  // Values as last logged.
+  std::string loggedCoordinator_;  // with its fence
+  std::string parent_;
+  std::uint64_t loggedDiverged_ = 0;
+  bool storeWorked_ = true;
+  bool stale_ = false;
   Counters counters_;
   net::Loop::TimerId timer_{};
 };
--- a/src/fleet/streams.cpp
+++ b/src/fleet/streams.cpp
@@ -9,15 +9,17 @@
 
 namespace {
 constexpr int kBacklog = 64;
-constexpr Nanos kSweep = 500'000'000, kConnect = 2'000'000'000;
+constexpr Nanos kSweepIntervalNs = 500'000'000;
+constexpr Nanos kConnectTimeoutNs = 2'000'000'000;
 }  // namespace
 
-Streams::Streams(net::Loop& loop, const Poco::Net::SocketAddress& address, Answer answer, Taken taken)
+Streams::Streams(net::Loop& loop, const Poco::Net::SocketAddress& address, RequestHandler onRequest,
+                 ReplyHandler onReply)
     : loop_(loop),
-      answer_(std::move(answer)),
-      taken_(std::move(taken)),
+      onRequest_(std::move(onRequest)),
+      onReply_(std::move(onReply)),
       listener_(loop, address, kBacklog, [this] { accept(); }) {
-  sweepTimer_ = loop_.after(kSweep, [this] { sweep(); });
+  sweepTimer_ = loop_.after(kSweepIntervalNs, [this] { sweep(); });
 }
 
 Streams::~Streams() {
@@ -25,49 +27,52 @@
   for (auto& [key, exchange] : exchanges_) exchange.connection->close();
 }
 
-std::size_t Streams::count(bool asked) const {
-  return static_cast<std::size_t>(std::count_if(
-      exchanges_.begin(), exchanges_.end(), [&](const auto& entry) { return entry.second.asked == asked; }));
+std::size_t Streams::count(bool outgoing) const {
+  return static_cast<std::size_t>(std::count_if(exchanges_.begin(), exchanges_.end(), [&](const auto& entry) {
+    return entry.second.outgoing == outgoing;
+  }));
 }
 
-Streams::Exchange& Streams::keep(std::shared_ptr<net::Connection> connection, bool asked) {
+Streams::Exchange& Streams::add(std::shared_ptr<net::Connection> connection, bool outgoing) {
   auto& exchange = exchanges_[connection.get()];
   exchange.connection = std::move(connection);
-  exchange.asked = asked, exchange.since = loop_.now();
-  ++(asked ? counters_.connected : counters_.accepted);
+  exchange.outgoing = outgoing;
+  exchange.since = loop_.now();
+  ++(outgoing ? counters_.connected : counters_.accepted);
   return exchange;
 }
 
 void Streams::accept() {
   try {
     while (true) {
-      if (count(false) >= kMostAsking) return listener_.watch(false);  // the rest wait for the next sweep
+      if (count(false) >= kMostAsking) return listener_.watch(false);  // until the next sweep
       auto socket = listener_.accept();
       if (!socket) return;
-      keep(net::Connection::adopt(loop_, *socket, *this), false);
+      add(net::Connection::adopt(loop_, *socket, *this), false);
     }
-  } catch (const Poco::Exception&) {  // no descriptor is left: whoever waits is taken later
+  } catch (const Poco::Exception&) {  // out of file descriptors: accepting resumes at the next sweep
     listener_.watch(false);
   }
 }
 
 void Streams::ask(const Poco::Net::SocketAddress& to, std::string_view message) {
   if (count(true) >= kMostAsked) return void(++counters_.leftOut);
-  keep(net::Connection::connect(loop_, to, kConnect, *this), true).question = framed(message);
+  add(net::Connection::connect(loop_, to, kConnectTimeoutNs, *this), true).request = framed(message);
 }
 
 void Streams::tell(const Poco::Net::SocketAddress& to, std::string_view message) {
   if (count(true) >= kMostAsked) return void(++counters_.leftOut);
-  auto& exchange = keep(net::Connection::connect(loop_, to, kConnect, *this), true);
-  exchange.told = true, exchange.question = framed(message);
+  auto& exchange = add(net::Connection::connect(loop_, to, kConnectTimeoutNs, *this), true);
+  exchange.oneWay = true;
+  exchange.request = framed(message);
 }
 
 void Streams::onUp(net::Connection& connection) {
   const auto at = exchanges_.find(&connection);
-  counters_.sentBytes += at->second.question.size();
-  connection.write(std::move(at->second.question));
-  if (!at->second.told) return;
-  connection.closeGently();  // it keeps itself until the peer has read all
+  counters_.sentBytes += at->second.request.size();
+  connection.write(std::move(at->second.request));
+  if (!at->second.oneWay) return;
+  connection.closeGently();  // the connection keeps itself alive until the peer has read everything
   exchanges_.erase(at);
 }
 
@@ -78,40 +83,40 @@
   counters_.receivedBytes += connection.input().size();
   exchange.input += std::exchange(connection.input(), {});
   connection.resume();
-  const auto length = lengthOf(exchange.input);
+  const auto length = messageLength(exchange.input);
   if (length == std::string_view::npos) return;
-  if (length > kMostStream) return connection.end(net::ConnectionEnd::badPeer);
+  if (length > kMaxStreamMessageBytes) return connection.end(net::ConnectionEnd::badPeer);
   if (exchange.input.size() < kFrameHead + length) return;
-  const auto whole = std::move(exchange);
+  const auto complete = std::move(exchange);
   exchanges_.erase(at);
-  const auto message = std::string_view(whole.input).substr(kFrameHead, length);
-  if (whole.asked) {
-    whole.connection->close();
-    return taken_(message);
+  const auto message = std::string_view(complete.input).substr(kFrameHead, length);
+  if (complete.outgoing) {
+    complete.connection->close();
+    return onReply_(message);
   }
-  const auto reply = answer_(message);
+  const auto reply = onRequest_(message);
   if (!reply.empty()) {
     counters_.sentBytes += kFrameHead + reply.size();
-    whole.connection->write(framed(reply));
+    complete.connection->write(framed(reply));
   }
-  whole.connection->closeGently();
+  complete.connection->closeGently();
 }
 
 void Streams::onEnd(net::Connection& connection, net::ConnectionEnd end) {
   const auto at = exchanges_.find(&connection);
   if (at == exchanges_.end()) return;
-  const bool neverUp = end == net::ConnectionEnd::refused || end == net::ConnectionEnd::unreachable ||
-                       end == net::ConnectionEnd::connectTimeout;
-  if (!neverUp) ++broken_;
+  const bool neverConnected = end == net::ConnectionEnd::refused || end == net::ConnectionEnd::unreachable ||
+                              end == net::ConnectionEnd::connectTimeout;
+  if (!neverConnected) ++broken_;
   exchanges_.erase(at);
 }
 
 void Streams::sweep() {
-  sweepTimer_ = loop_.after(kSweep, [this] { sweep(); });
-  std::vector<std::shared_ptr<net::Connection>> late;
+  sweepTimer_ = loop_.after(kSweepIntervalNs, [this] { sweep(); });
+  std::vector<std::shared_ptr<net::Connection>> expired;
   for (const auto& [key, exchange] : exchanges_)
-    if (loop_.now() - exchange.since > kTime) late.push_back(exchange.connection);
-  for (const auto& connection : late) connection->end(net::ConnectionEnd::silent);
+    if (loop_.now() - exchange.since > kExchangeTimeoutNs) expired.push_back(exchange.connection);
+  for (const auto& connection : expired) connection->end(net::ConnectionEnd::silent);
   listener_.watch(true);
 }
 
--- a/src/fleet/streams.hpp
+++ b/src/fleet/streams.hpp
@@ -1,4 +1,5 @@
-// Full exchanges between aggregators: a connection carries one message and gets one back.
+// Messages between aggregators that are sent by TCP, such as full exchanges: each connection carries one
+// request and at most one reply.
 #pragma once
 
 #include <functional>
@@ -14,45 +15,56 @@
 
 class Streams : private net::Connection::Owner {
  public:
-  using Answer = std::function<std::string(std::string_view message)>;  // empty: none, it is hung up
-  using Taken = std::function<void(std::string_view reply)>;
+  // Returns the reply to a received request; empty: the connection is closed without a reply.
+  using RequestHandler = std::function<std::string(std::string_view message)>;
+  using ReplyHandler = std::function<void(std::string_view reply)>;
 
-  // Throws Poco::Exception where the address can't be had.
-  Streams(net::Loop& loop, const Poco::Net::SocketAddress& address, Answer answer, Taken taken);
+  // Throws Poco::Exception if it cannot listen on the address.
+  Streams(net::Loop& loop, const Poco::Net::SocketAddress& address, RequestHandler onRequest,
+          ReplyHandler onReply);
   ~Streams() override;
 
-  // Over kMostAsked at once it is left out: full exchanges come again.
+  // Sends a request. It is dropped and counted if kMostAsked outgoing connections are open; the protocols
+  // that use this repeat their exchanges.
   void ask(const Poco::Net::SocketAddress& to, std::string_view message);
-  void tell(const Poco::Net::SocketAddress& to, std::string_view message);  // no reply is waited for
-  std::uint64_t broken() const { return broken_; }  // ended before the message was whole
+  // Sends a message without waiting for a reply; dropped like a request.
+  void tell(const Poco::Net::SocketAddress& to, std::string_view message);
+  std::uint64_t broken() const {
+    return broken_;
+  }  // established connections that ended before their message was complete
   struct Counters {
-    std::uint64_t connected = 0, accepted = 0, leftOut = 0;  // connections; asked for over kMostAsked
-    std::uint64_t sentBytes = 0, receivedBytes = 0;          // with their frames
+    std::uint64_t connected = 0;  // outgoing connections, failed ones included
+    std::uint64_t accepted = 0;   // incoming connections
+    std::uint64_t leftOut = 0;    // messages dropped since kMostAsked connections were open
+    std::uint64_t sentBytes = 0;  // including the length in front of each message
+    std::uint64_t receivedBytes = 0;
   };
   const Counters& counters() const { return counters_; }
 
-  static constexpr std::size_t kMostAsked = 16, kMostAsking = 32;  // connections
-  static constexpr Nanos kTime = 5'000'000'000;                    // for an exchange
+  static constexpr std::size_t kMostAsked = 16;               // outgoing connections at a time
+  static constexpr std::size_t kMostAsking = 32;              // incoming connections at a time
+  static constexpr Nanos kExchangeTimeoutNs = 5'000'000'000;  // from the connection attempt to the reply
 
  private:
   struct Exchange {
     std::shared_ptr<net::Connection> connection;
-    bool asked = false;  // from here
-    bool told = false;   // and no reply comes
+    bool outgoing = false;
+    bool oneWay = false;  // outgoing, and no reply is expected
     Nanos since = 0;
-    std::string input, question;
+    std::string input;
+    std::string request;  // framed, until it has been written
   };
   void accept();
-  Exchange& keep(std::shared_ptr<net::Connection> connection, bool asked);
-  std::size_t count(bool asked) const;
+  Exchange& add(std::shared_ptr<net::Connection> connection, bool outgoing);
+  std::size_t count(bool outgoing) const;
   void onUp(net::Connection& connection) override;
   void onData(net::Connection& connection) override;
   void onEnd(net::Connection& connection, net::ConnectionEnd end) override;
   void sweep();
 
   net::Loop& loop_;
-  Answer answer_;
-  Taken taken_;
+  RequestHandler onRequest_;
+  ReplyHandler onReply_;
   net::Listener listener_;
   std::map<net::Connection*, Exchange> exchanges_;
   std::uint64_t broken_ = 0;
--- a/tests/processes/aggregator.hpp
+++ b/tests/processes/aggregator.hpp
@@ -1,6 +1,6 @@
-// An aggregator among stand-ins: leafs that note what reaches them, an agent of discovery, a listening socket
-// that processes inherit, and clients that ask without waiting for each other. All on one loop beside the
-// test.
+// Processes of one aggregator with a simulated environment: fake leafs that count the parts they receive, a
+// fake discovery agent, a listening socket that the processes inherit, and fake clients with an open-loop
+// load. All run on one event loop beside the test's body.
 #pragma once
 
 #include <Poco/Net/ServerSocket.h>
@@ -16,8 +16,8 @@
 
 namespace topazweir::test {
 
-// A leaf's side of the wire: counts the parts that reach it, with the time.
-struct NotingLeaf : lab::NodeSpeaker {
+// A fake leaf that counts the parts it has answered.
+struct CountingLeaf : lab::NodeSpeaker {
   std::optional<std::string> reply(std::string& input, lab::Fault fault) override {
     auto out = lab::NodeSpeaker::reply(input, fault);
     if (out) ++parts;
@@ -31,13 +31,13 @@
   AggregatorWorld(std::string program, const std::string& name, int leafs)
       : program_(std::move(program)), folder_(scratchFolder(name)) {
     for (int i = 0; i < leafs; ++i) {
-      speakers.push_back(std::make_unique<NotingLeaf>());
+      speakers.push_back(std::make_unique<CountingLeaf>());
       leafs_.push_back(std::make_unique<lab::StandIn>(loop, *speakers.back(), lab::Fault::none));
     }
     agentSpeaker_.list = list();
     agent_ = std::make_unique<lab::StandIn>(loop, agentSpeaker_, lab::Fault::none);
     listener_.bind(Poco::Net::SocketAddress("127.0.0.1", 0), true, false);
-    listener_.listen(512);
+    listener_.listen(kBacklog);
     std::filesystem::create_directories(folder_ + "/tmp");
     std::ofstream(folder_ + "/config.json")
         << R"({"name":"n0","listen":")" << address() << R"(","discovery":")" << agent_->address()
@@ -47,7 +47,7 @@
         << R"("secondCopies":true,"cancelling":true,"retryAfter":true},"profiles":[{"name":"search","aimNs":2000000000,"deadlineNs":4000000000}]}})";
   }
 
-  // Starts a further process, with an address for operators of its own.
+  // Starts another process of the aggregator, with its own operators' address.
   Process& start() {
     ops.push_back(lab::freeAddress());
     Process::Plan plan;
@@ -63,14 +63,14 @@
     return *processes.back();
   }
 
-  // What the process answers to a call; empty: nothing, such as before it listens.
+  // The process's answer to an operator call; empty: none, for example before it listens.
   std::string call(std::size_t process, const std::string& line) {
-    OpsCall asked(loop, ops.at(process), line);
-    until("an answer to " + line, [&] { return asked.over(); });
-    return asked.answer();
+    OperatorCall operatorCall(loop, ops.at(process), line);
+    until("an answer to " + line, [&] { return operatorCall.done(); });
+    return operatorCall.answer();
   }
-  bool says(std::size_t process, const std::string& line, const std::string& word) {
-    return call(process, line).starts_with(word);
+  bool says(std::size_t process, const std::string& line, const std::string& prefix) {
+    return call(process, line).starts_with(prefix);
   }
   void untilListens(std::size_t process) {
     until("the operators' address", [&] { return processes.at(process)->over() || listens(process); });
@@ -81,28 +81,30 @@
     while (!says(process, "ready", "ACK")) runFor(10'000'000);
   }
 
-  // From now on a query every `gap`, on a connection of its own. One whose final answer says that it may come
-  // again (503, or 504 on a machine that stands still) does, as the platform's clients do.
-  void load(Nanos gap) {
-    gap_ = gap;
-    next();
-  }
-  void stopLoad() { gap_ = 0; }
-  // All that were asked have been served. Returns how many met a broken connection, or were not served within
-  // kMostTries: each of these is shown with what the processes' logs say of it.
+  // Starts sending a query every `interval`, each on its own connection. Queries that fail with 503, or with
+  // 504 (possible if the machine stalls), are retried, as the platform's clients do.
+  void load(Nanos interval) {
+    interval_ = interval;
+    sendNext();
+  }
+  void stopLoad() { interval_ = 0; }
+  // Waits until all queries have ended. Returns the number of those that met a broken connection or were not
+  // answered within kMaxTries; the first of them are printed with the processes' log lines about them.
   int settle() {
-    until("all clients' answers",
-          [&] { return std::all_of(asked_.begin(), asked_.end(), [this](auto& a) { return settled(a); }); });
-    int bad = 0;
-    for (const auto& a : asked_) {
-      if (a.client->status == 200) continue;
-      std::fprintf(stderr, "a client got %d after %.3f s, try %d\n", a.client->status,
-                   static_cast<double>(a.client->took) / 1e9, a.tries);
-      if (++bad <= kMostShown) show(a.id());
+    until("all clients' answers", [&] {
+      return std::all_of(queries_.begin(), queries_.end(), [this](auto& query) { return settled(query); });
+    });
+    int failed = 0;
+    for (const auto& query : queries_) {
+      if (query.client->status == 200) continue;
+      std::fprintf(stderr, "a client got %d after %.3f s, try %d\n", query.client->status,
+                   static_cast<double>(query.client->took) / 1e9, query.tries);
+      if (++failed <= kMaxShownFailures) printLog(query.id());
     }
-    return bad;
+    return failed;
   }
-  std::size_t asked() const { return asked_.size(); }
+  std::size_t asked() const { return queries_.size(); }
+  // Status of GET /up.
   int upSays() {
     lab::Client client(loop, address(), "GET /up HTTP/1.1\r\nHost: a\r\n\r\n");
     client.stopsLoop = false;
@@ -112,9 +114,9 @@
   std::string address() const { return listener_.address().toString(); }
   std::string temporary() const { return folder_ + "/tmp"; }
 
-  std::vector<std::unique_ptr<NotingLeaf>> speakers;
-  std::vector<std::unique_ptr<Process>> processes;
-  std::vector<std::string> ops;
+  std::vector<std::unique_ptr<CountingLeaf>> speakers;  // the leafs
+  std::vector<std::unique_ptr<Process>> processes;      // in the order of their start
+  std::vector<std::string> ops;                         // the operators' address of each process
 
  private:
   bool listens(std::size_t process) {
@@ -134,37 +136,39 @@
              R"(","zone":"a","cell":0,"lifecycle":"Ready","weight":1,"startedAtMs":0})";
     return out + "]}";
   }
-  static constexpr int kMostTries = 40, kMostShown = 5;
-  static constexpr Nanos kComeAgain = 100'000'000;
-  struct Asked {
+  static constexpr int kMaxTries = 40;
+  static constexpr int kMaxShownFailures = 5;
+  static constexpr Nanos kRetryDelayNs = 100'000'000;
+  static constexpr int kBacklog = 512;
+  struct Query {
     std::size_t number = 0;
     int tries = 0;
     std::unique_ptr<lab::Client> client;
     std::string id() const { return "q" + std::to_string(number) + "-" + std::to_string(tries); }
   };
-  void next() {
-    if (gap_ <= 0) return;
-    asked_.push_back({asked_.size(), 0, nullptr});
-    ask(asked_.back());
-    loop.after(gap_, [this] { next(); });
-  }
-  void ask(Asked& asked) {
-    ++asked.tries;
+  void sendNext() {
+    if (interval_ <= 0) return;
+    queries_.push_back({queries_.size(), 0, nullptr});
+    send(queries_.back());
+    loop.after(interval_, [this] { sendNext(); });
+  }
+  void send(Query& query) {
+    ++query.tries;
     const std::string body = R"({"targets":[{"partition":0,"share":1}],"query":"x"})";
-    asked.client = std::make_unique<lab::Client>(
+    query.client = std::make_unique<lab::Client>(
         loop, address(),
-        "POST /search HTTP/1.1\r\nHost: a\r\nReq-Id: " + asked.id() +
+        "POST /search HTTP/1.1\r\nHost: a\r\nReq-Id: " + query.id() +
             "\r\nReq-Deadline: 3.9\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
-    asked.client->stopsLoop = false;
+    query.client->stopsLoop = false;
   }
-  bool settled(Asked& asked) {
-    if (!asked.client->done()) return false;
-    const int status = asked.client->status;
-    if ((status != 503 && status != 504) || asked.tries >= kMostTries) return true;
-    if (loop.now() >= asked.client->endedAt + kComeAgain) ask(asked);
+  bool settled(Query& query) {
+    if (!query.client->done()) return false;
+    const int status = query.client->status;
+    if ((status != 503 && status != 504) || query.tries >= kMaxTries) return true;
+    if (loop.now() >= query.client->endedAt + kRetryDelayNs) send(query);
     return false;
   }
-  void show(const std::string& id) {
+  void printLog(const std::string& id) {
     for (auto& process : processes)
       for (const auto& line : process->lines())
         if (line.find("id=" + id + " ") != std::string::npos) std::fprintf(stderr, "  %s\n", line.c_str());
@@ -175,8 +179,8 @@
   lab::AgentSpeaker agentSpeaker_;
   std::unique_ptr<lab::StandIn> agent_;
   Poco::Net::ServerSocket listener_;
-  std::list<Asked> asked_;
-  Nanos gap_ = 0;
+  std::list<Query> queries_;
+  Nanos interval_ = 0;
 };
 
 }  // namespace topazweir::test
--- a/tests/processes/steps.hpp
+++ b/tests/processes/steps.hpp
@@ -1,7 +1,6 @@
-// The steps of a test, one after the other, beside a loop that runs its stand-ins. The test's body and the
-// loop have a thread each and take strict turns: while one runs the other waits, so that neither needs a
-// lock. Steps wait for a condition, with a wide limit and never for a time: the verdict doesn't depend on how
-// fast the machine is.
+// Runs a test's body beside an event loop with the test's fake clients and servers. Each has a thread, and
+// only one of the two runs at a time, so that no locks are needed. The body waits for conditions with a
+// generous limit instead of sleeping, so that results do not depend on the speed of the machine.
 #pragma once
 
 #include <cstdio>
@@ -18,14 +17,17 @@
 
 class Stage {
  public:
+  static constexpr Nanos kWaitLimitNs = 60'000'000'000;
+  static constexpr Nanos kCheckIntervalNs = 5'000'000;
+
   net::Loop loop;
 
-  // Runs the body, and the loop whenever the body waits. Once.
+  // Runs the body, and the loop whenever the body waits. May be called once.
   void play(const std::function<void()>& body) {
     std::thread thread([&] {
       toBody_.acquire();
       body();
-      over_ = true;
+      finished_ = true;
       toLoop_.release();
     });
     loop.after(0, [this] { turnToBody(); });
@@ -33,22 +35,23 @@
     thread.join();
   }
 
-  // Lets the loop run until the condition holds. Fails the test, naming what was waited for, after the limit.
-  void until(const std::string& what, const std::function<bool()>& holds, Nanos limit = 60'000'000'000) {
+  // Runs the loop until the condition holds, checked every 5 ms. After the limit the test fails with a
+  // message that names `what`.
+  void until(const std::string& what, const std::function<bool()>& holds, Nanos limit = kWaitLimitNs) {
     const Nanos end = loop.now() + limit;
     bool held = false;
-    std::function<void()> look = [&] {
+    std::function<void()> checkAgain = [&] {
       held = holds();
-      held || loop.now() > end ? turnToBody() : static_cast<void>(loop.after(5'000'000, look));
+      held || loop.now() > end ? turnToBody() : static_cast<void>(loop.after(kCheckIntervalNs, checkAgain));
     };
-    loop.after(0, look);
+    loop.after(0, checkAgain);
     toLoop_.release();
     toBody_.acquire();
     if (held) return;
-    std::fprintf(stderr, "waited in vain: %s\n", what.c_str());
-    std::_Exit(1);  // the loop's thread waits for this one: an orderly exit would wait for it in turn
+    std::fprintf(stderr, "timed out waiting for: %s\n", what.c_str());
+    std::_Exit(1);  // the loop's thread waits for this one, so a normal exit would deadlock
   }
-  // Lets the loop run for a while: for load that is to flow, not for something to happen.
+  // Runs the loop for a time: to generate load, not to wait for an event.
   void runFor(Nanos time) {
     const Nanos end = loop.now() + time;
     until("time to pass", [&] { return loop.now() >= end; });
@@ -58,10 +61,10 @@
   void turnToBody() {
     toBody_.release();
     toLoop_.acquire();
-    if (over_) loop.stop();
+    if (finished_) loop.stop();
   }
   std::binary_semaphore toBody_{0}, toLoop_{0};
-  bool over_ = false;
+  bool finished_ = false;
 };
 
 }  // namespace topazweir::test
