--- a/src/fleet/side.cpp
+++ b/src/fleet/side.cpp
@@ -489,7 +489,7 @@
 }
 
 std::string Side::registerText() const {
-  if (!holdsRegister()) return "NAK this member holds no register yet\n";
+  if (!holdsRegister()) return "NAK this member keeps no register yet\n";
   std::string out = fmt::format(
       "ACK commands={} {}\n", currentRegister().commands(),
       raftGroup_ ? "voter"
@@ -552,17 +552,16 @@
   std::string out = fmt::format("ACK {} is {} for {:.1f} s\n", name, nameOf(member.record.state),
                                 seconds(now - member.since));
   const bool self = name == config_.name;
-  out += fmt::format("why: {}\n", self ? "it is the member that was asked" : member.cause);
+  out += fmt::format("why: {}\n", self ? "it is the one that was asked" : member.cause);
   if (member.record.state == membership::State::suspect)
-    out += fmt::format("failed probes reported by: {}\n", member.record.by);
+    out += fmt::format("probed in vain by: {}\n", member.record.by);
   if (!self)
-    out += member.heardAt > 0
-               ? fmt::format("last direct contact: {:.1f} s ago\n", seconds(now - member.heardAt))
-               : std::string("last direct contact: never\n");
-  out +=
-      fmt::format("announces: {} (revision {}, incarnation {}) at {}\n", nameOf(member.record.published.duty),
-                  member.record.published.revision, member.record.incarnation, member.record.address);
-  out += fmt::format("local health score of {}: {} of {} (0 is healthy)\n", config_.name, detector_.health(),
+    out += member.heardAt > 0 ? fmt::format("heard directly: {:.1f} s ago\n", seconds(now - member.heardAt))
+                              : std::string("heard directly: never\n");
+  out += fmt::format("says of itself: {} (revision {}, incarnation {}) at {}\n",
+                     nameOf(member.record.published.duty), member.record.published.revision,
+                     member.record.incarnation, member.record.address);
+  out += fmt::format("own doubts of {}: {} of {}\n", config_.name, detector_.health(),
                      detector_.settings().worstHealth);
   return out;
 }
