--- a/include/topazweir/aggregator.hpp
+++ b/include/topazweir/aggregator.hpp
@@ -1,9 +1,9 @@
-// The whole interface of topazweir: settings, events, actions and the class Aggregator.
+// The public interface of topazweir: settings, events, actions and the class Aggregator.
 //
-// An Aggregator is handed queries, each divided into parts, one for a shard. It decides which replica of the
-// shard each part goes to, when a further attempt is made and when the query gets its final answer. It does
-// no input or output and reads no clock: the caller feeds events with the time at which they happened and
-// carries out the actions that come back. All times are nanoseconds of one clock that only moves forward.
+// An Aggregator receives queries, each divided into parts, one for each shard that the query touches. It
+// decides which replica of a shard a part is sent to, when another attempt is made, and when the query gets
+// its final answer. It performs no I/O and reads no clock: the caller passes in events together with the
+// current time and carries out the returned actions. All times are nanoseconds on one monotonic clock.
 #pragma once
 
 #include <cstdint>
@@ -15,165 +15,184 @@
 
 namespace topazweir {
 
-using Nanos = std::int64_t;      // a duration, or a moment on the caller's clock
-using ServerId = std::uint64_t;  // one server process; opaque
-using QueryNo = std::int64_t;    // one query at this aggregator; never reused
+using Nanos = std::int64_t;      // a duration, or a point in time on the caller's clock, in nanoseconds
+using ServerId = std::uint64_t;  // identifies one server process; opaque
+using QueryNo = std::int64_t;    // identifies one query at this aggregator; never reused
 using RequestId = std::string;   // the caller's id of a query or of a part; opaque, never reused
 
 // ---- settings ----
 
+// How the parts of a class may be repeated.
 enum class Effect {
-  safe,   // any part may be repeated
-  keyed,  // a repeat is dropped by the servers for `keyedWindow`
-  unsafe  // a part may be repeated only when no earlier attempt can have run
+  safe,   // idempotent: any part may be repeated
+  keyed,  // servers drop duplicates of a part for `keyedWindow` after its first attempt
+  unsafe  // non-idempotent: a part may be repeated only when no earlier attempt can have run
 };
 
+// Service level and repeat rules of one class of queries. Shares and weights are fractions of 1; worth is in
+// points.
 struct QueryClass {
   std::string name;
-  Nanos aim = 0;         // an answer within this time has the full worth
-  Nanos deadline = 0;    // what a client waits at most, over all its tries
-  double worth = 1;      // worth of a whole answer
+  Nanos aim = 0;         // response time within which an answer earns its full worth
+  Nanos deadline = 0;    // longest time that a client waits, over all its tries
+  double worth = 1;      // points for a complete answer
   double lateWorth = 0;  // share of the worth that an answer keeps between aim and deadline
   Effect effect = Effect::safe;
   Nanos keyedWindow = 0;    // keyed classes: counted from the first attempt that may have run
-  double need = 1;          // weight of the parts that makes a whole answer
+  double need = 1;          // weight of delivered parts that makes an answer complete
   double floor = 1;         // weight below which no answer may be given
-  double partialWorth = 0;  // an answer below `need` earns this x weight / need
-  Nanos leastLate = 0;  // no part is late, nor its server silent, before so long; for quick, uneven services
-  int maxAttempts = 0;  // for one part; 0: as the settings say, which are never exceeded
-  bool copies = true;   // a part may have two attempts out, where the settings allow it at all
-  int secondStepParts = 0;  // parts of a second step that follows the first answer; 0: there is none
+  double partialWorth = 0;  // an answer below `need` earns this times weight / need
+  Nanos leastLate = 0;      // a part is never late, nor its server unresponsive, before this time has passed;
+                            // for services whose delays are short but vary widely
+  int maxAttempts = 0;  // attempts for one part; 0: Settings::maxAttempts, which is always the upper limit
+  bool copies = true;   // a part may have a hedged request, where Settings::secondCopies allows them
+  int secondStepParts = 0;  // parts of a second step that follows the first answer; 0: no second step
   bool operator==(const QueryClass&) const = default;
 };
 
-struct AttemptBudget {  // attempts beyond each part's first, in any window of this length
+// Retry budget: the attempts beyond each part's first that are allowed in any window of the given length.
+struct AttemptBudget {
   Nanos window = 0;
   double free = 0;      // allowed regardless of traffic
-  double perTaken = 0;  // and this many for each query and part taken within the window
+  double perTaken = 0;  // allowed in addition for each query and each part accepted within the window
   bool operator==(const AttemptBudget&) const = default;
 };
 
+// Everything an Aggregator is told about itself, its fleet, its servers and its limits.
 struct Settings {
-  std::uint64_t seed = 0;
-  int zone = 0;         // where this aggregator stands
-  int aggregators = 1;  // how many aggregators send to the same servers
-  int number = 0;       // which of them this one is, from 0: together they take turns
-  Nanos tick = 0;       // the shortest time between two calls of handle()
+  std::uint64_t seed = 0;  // of the random generator
+  int zone = 0;            // the zone that this aggregator runs in
+  int aggregators = 1;     // number of aggregators that send to the same servers
+  int number = 0;          // index of this aggregator among them, from 0
+  Nanos tick = 0;          // shortest time between two calls of Aggregator::handle()
   std::vector<QueryClass> classes;
-  int shards = 0;  // shard s is held by the servers of cell (s + j) % cells for j in [0, reach)
+  int shards = 0;  // shard s is held by the servers of the cells (s + j) % cells for j in [0, reach)
   int cells = 1;
   int reach = 1;
-  int partsPerCall = 1;       // sends to one server in one turn share a call, up to this many
-  double parallel = 1;        // parts that one server works on at once, as far as is known
-  Nanos callOverhead = 0;     // work that a call costs its server beside that of its parts
-  int maxAttempts = 1;        // for one part
-  bool secondCopies = false;  // a part may have two attempts out at a time
-  bool cancelling = false;    // Cancel is permitted
-  bool messages = false;      // Tell is permitted
-  bool repeatsMarked = true;  // clients mark their repeats (QueryArrived::repeat)
-  bool retryAfter = false;    // clients receive the advice of Refuse
-  Nanos maxRetryAfter = 0;
-  Nanos answerSlack = 0;       // a final answer is still in time this long after the client's time
-  bool listOnRequest = false;  // the list of servers comes only after Subscribe or FetchList
-  Nanos askWithin = 0;         // without a subscription: ask at least this often
-  double coldFrom = 1;         // a server starts at this share of its capacity or more
-  Nanos coldFor = 0;           // and is warm after this time at the latest
-  double tipMultiple = 0;      // a cold server sent more than this multiple of its present capacity ...
-  Nanos tipWindow = 0;         // ... for this long falls over; 0: no such rule
-  Nanos drainGrace = 0;        // sends to a draining server end within this time of the news
+  int partsPerCall = 1;        // parts sent to one server in one turn share a call, up to this many
+  double parallel = 1;         // parts that one server works on concurrently, as far as is known; at least 1
+  Nanos callOverhead = 0;      // server work that a call costs in addition to the work of its parts
+  int maxAttempts = 1;         // for one part, including the first
+  bool secondCopies = false;   // hedging: a part may have two attempts in flight at a time
+  bool cancelling = false;     // Cancel actions are permitted
+  bool messages = false;       // Tell actions are permitted
+  bool repeatsMarked = true;   // clients mark their retries (QueryArrived::repeat)
+  bool retryAfter = false;     // clients receive Refuse::retryAfter
+  Nanos maxRetryAfter = 0;     // upper limit of Refuse::retryAfter
+  Nanos answerSlack = 0;       // a final answer still arrives in time this long after the client's time is up
+  bool listOnRequest = false;  // the server list is delivered only after Subscribe or FetchList
+  Nanos askWithin = 0;         // without a subscription, the list must be fetched at least this often
+  double coldFrom = 1;         // share of its capacity at which a server starts at the least, in (0, 1]
+  Nanos coldFor = 0;           // a server is warm this long after its start at the latest
+  double tipMultiple = 0;      // a cold server fails when it is sent more than this multiple of its present
+  Nanos tipWindow = 0;         // capacity for this long; 0: no such rule
+  Nanos drainGrace = 0;        // sends to a draining server must end within this time of the update
   double wastePrice = 0;       // points for server work that served no answer, by share of the work offered
   double lateFailPrice = 0;    // points for worth left unserved after its aim
-  double crossZonePrice = 0;   // points for an attempt into another zone, by part
-  std::optional<AttemptBudget> budget;
+  double crossZonePrice = 0;   // points for an attempt into another zone, per part
+  std::optional<AttemptBudget> budget;  // none: retries are not limited by a budget
   bool operator==(const Settings&) const = default;
 };
 
-// Attempts that one part of the class may have.
+// Returns the number of attempts that one part of the class may have.
 inline int limitOf(const Settings& s, const QueryClass& c) {
   return c.maxAttempts > 0 && c.maxAttempts < s.maxAttempts ? c.maxAttempts : s.maxAttempts;
 }
 
-// What makes the settings senseless, if anything does. An Aggregator given such settings takes no action.
+// Validates the settings. Returns a description of the first fault, or nothing if there is none. An
+// Aggregator built from invalid settings never returns an action.
 std::optional<std::string> findFault(const Settings& settings);
 
 // ---- events ----
 
 enum class ServerState { up, draining, gone };
 
+// One server as the server list describes it.
 struct ServerEntry {
   ServerId server = 0;
   int zone = 0;
-  int cell = 0;
+  int cell = 0;  // decides which shards the server holds, see Settings::shards
   ServerState state = ServerState::up;
   double capacity = 1;
-  Nanos startedAt = 0;  // latest start; 0: long ago
+  Nanos startedAt = 0;  // latest start of its process; 0: long ago
 };
 
+// An update of the server list, or the failure to get one. `changes` names only the servers that changed;
+// `full` and `initial` name all: any server that they omit is gone. `initial` is the first list after a
+// subscription, `failed` has no entries.
 struct ListNews {
   enum class Scope { changes, full, initial, failed } scope = Scope::full;
   std::vector<ServerEntry> entries;
 };
 
+// A new query. Its first step's parts follow as PartArrived events of the same turn.
 struct QueryArrived {
   RequestId id;
   QueryNo number = 0;
-  int queryClass = 0;
+  int queryClass = 0;   // index into Settings::classes
   Nanos timeLeft = 0;   // until the client abandons this try
-  int parts = 0;        // how many parts the first step has
-  bool repeat = false;  // a client's repeat, where clients say so
+  int parts = 0;        // number of parts in the first step
+  bool repeat = false;  // a client's retry, where clients mark them (Settings::repeatsMarked)
 };
 
+// One part of an open query.
 struct PartArrived {
   RequestId id;
   QueryNo query = 0;
   int shard = 0;
-  double weight = 0;
+  double weight = 0;  // share of the query's answer that this part contributes
 };
 
+// How an attempt ended.
 enum class Outcome {
   delivered,
   error,          // answered with an error; may have run
-  rejected,       // turned away unseen; did not run
+  rejected,       // turned away before any work was done; did not run
   timedOut,       // may have run
   connectFailed,  // did not run
-  reset,          // may have run
+  reset,          // connection broke; may have run
   cancelled,      // may have run
   notSent         // did not run
 };
 
+// Returns whether the server may have executed an attempt that ended this way.
 constexpr bool mayHaveRun(Outcome outcome) {
   return outcome != Outcome::rejected && outcome != Outcome::connectFailed && outcome != Outcome::notSent;
 }
 
+// The end of an attempt that a Send started.
 struct AttemptEnded {
   RequestId part;
-  int attempt = 0;  // counted from 0 in the order of Send
+  int attempt = 0;  // index of the attempt within its part, from 0, in the order of the Send actions
   ServerId server = 0;
   Outcome outcome = Outcome::delivered;
-  Nanos delay = 0;  // since the send
+  Nanos delay = 0;  // time since the send
 };
 
+// The client of a query has left or has stopped waiting.
 struct QueryExpired {
   RequestId query;
 };
 
+// A timer requested by SetTimer has expired.
 struct TimerFired {
   std::int64_t token = 0;
 };
 
-struct PeerMessage {  // what another aggregator has told; may be late, lost or stale
-  int from = 0;       // its Settings::number
+// Bytes that another aggregator sent with Tell. Delivery may be delayed, lost or out of date.
+struct PeerMessage {
+  int from = 0;  // Settings::number of the sender
   std::string bytes;
 };
 
-// A send that is not this instance's and counts with its own against a cold server's ceiling: that of the
-// process whose place this one takes.
+// A send made by another instance that counts towards this instance's slow-start limit of a cold server: the
+// process that this one replaces made it.
 struct SentElsewhere {
   ServerId server = 0;
   Nanos at = 0;
 };
 
-// Settings::aggregators and Settings::number as they are from now on: another aggregator has come or gone.
+// Another aggregator has joined or left: new values of Settings::aggregators and Settings::number.
 struct FleetChanged {
   int aggregators = 1;
   int number = 0;
@@ -184,47 +203,57 @@
 
 // ---- actions ----
 
+// Starts an attempt of a part at a server.
 struct Send {
   RequestId part;
   ServerId server = 0;
   Nanos timeout = 0;  // 0: as long as the client waits
 };
 
+// Cancels an attempt whose outcome is no longer needed.
 struct Cancel {
   RequestId part;
-  int attempt = 0;
+  int attempt = 0;  // index of the attempt within its part, from 0
 };
 
-struct Answer {  // the final answer, or the end of the first step in a class that has two
+// The final answer, or the end of the first step in a class that has two steps.
+struct Answer {
   RequestId query;
-  bool whole = false;
+  bool whole = false;  // the delivered parts reach QueryClass::need
 };
 
-struct Refuse {  // final; assures the client that a retry is safe
+// Final: the query is rejected. Assures the client that a retry is safe.
+struct Refuse {
   RequestId query;
-  Nanos retryAfter = 0;  // 0: no advice
+  Nanos retryAfter = 0;  // time to wait before a retry; 0: no advice
 };
 
-struct Fail {  // final; promises nothing
+// Final: the query failed. Does not say whether a retry is safe.
+struct Fail {
   RequestId query;
 };
 
+// Requests a TimerFired event with this token after the given time.
 struct SetTimer {
   std::int64_t token = 0;
   Nanos wait = 0;
 };
 
-struct Tell {               // to the other aggregators
-  std::string bytes;        // 256 at most
-  std::optional<int> peer;  // only to this one; none: to all
+// Sends a message to other aggregators.
+struct Tell {
+  std::string bytes;        // at most 256
+  std::optional<int> peer;  // index of the only recipient; none: all peers
 };
 
+// Subscribes to updates of the server list, or ends the subscription.
 struct Subscribe {
   bool on = true;
 };
 
+// Requests the server list once.
 struct FetchList {};
 
+// Writes a line to the caller's log.
 struct Log {
   std::string text;
 };
@@ -233,6 +262,7 @@
 
 // ---- the aggregator ----
 
+// The decision module: a deterministic state machine from events to actions. Not thread-safe.
 class Aggregator {
  public:
   explicit Aggregator(Settings settings);
@@ -240,8 +270,9 @@
   Aggregator(Aggregator&&) noexcept;
   Aggregator& operator=(Aggregator&&) noexcept;
 
-  // Takes the events of one turn, in their order, and returns what to do, in order. A query's parts follow it
-  // in the same turn. `now` never goes back. Events that name unknown or ended ids are ignored.
+  // Processes the events of one turn in order and returns the actions to carry out, in order. The parts of a
+  // query arrive in the same turn as the query. `now` must not decrease between calls. Events that name
+  // unknown or ended ids are ignored.
   std::vector<Action> handle(Nanos now, const std::vector<Event>& events);
 
  private:
