--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -1,7 +1,10 @@
-// Every decision of the aggregator. The mechanism is OPEN (optimal endorsement): each part goes to the
-// replica of its shard with the lowest last delay; a replica with a part still pending is set aside with a
-// guessed delay; within a small budget a safe part is paired at once with a random other replica, and the
-// first answer wins. docs/design.md says what was added and when each addition acts.
+// The decision module: which replica each part is sent to, when it is retried or hedged, which queries are
+// admitted, and when a query ends.
+//
+// The mechanism is OPEN (optimal endorsement). Each part goes to the replica of its shard with the lowest
+// last delay. A replica with a part still pending is passed over and gets a guessed delay. Within a small
+// budget an idempotent part is hedged at once with a request to another replica chosen at random; the first
+// answer wins. docs/design.md lists the additions to this mechanism and when each of them acts.
 #include <algorithm>
 #include <array>
 #include <cmath>
@@ -20,164 +23,312 @@
 
 namespace {
 
-// ---- tuning: shares and ratios, without unit unless stated ----
-
-constexpr double kTwinShare = 0.10, kCopyShare = 0.18;  // of parts: the design's tenth; all under a fifth
-constexpr double kCopyBudget = 0.5;    // of a told budget: the rest is kept for parts that have failed
-constexpr double kResendShare = 0.15;  // time-outs per part: for a few sick servers, no storm when all are
-constexpr double kRepeatShare = 0.2;   // of parts: repeats of what was turned away, in a large fleet
-constexpr double kTrialShare = 0.03;   // of parts: sent to benched servers, to learn whether they are back
-constexpr double kTokenCap = 4;        // copies that may be saved up: a burst of them must stay small
-constexpr double kEpsilon = 1;         // ns above the round's largest delay, as in the paper
-constexpr double kAsideRatio = 1.5;    // a set-aside replica is taken when all others look this much slower
-constexpr double kOwnQueue = 0.5, kOwnAtDoor = 1.0;  // parts' work an own part out adds: ranking (each), door
-constexpr double kSeenQueue = 0.5;  // the same where peers tell what they send: parts share a server's cores
-constexpr double kCorrect = 0.5;    // of the error in a reckoned queue that an own answer sets right
-constexpr double kTypical = 2.0;    // a part's usual delay over that of the quickest tenth, at most
-constexpr double kPace = 0.04, kPaceMost = 5, kLagStep = 0.15;  // steps and limit of common pace, zones' lags
-// In shortest aims: what a server or a zone has shown is forgotten, unheard peers count as cut off, and a
-// reckoned queue is no longer, since more would be as late.
-constexpr double kForgetAims = 4, kHeardAims = 1, kLongestQueue = 2;
-constexpr std::size_t kTellMost = 120;  // entries a message, two bytes each
-constexpr double kCallCost = 3;         // a new call's work, also paid by all that wait behind it
-constexpr double kZoneWeight = 10;      // says how often a crossing's price counts in the ranking
-constexpr double kMemoryAims = 1.0;     // a last delay has lost most of its say after so many class aims
-// A part is late past so many 90th percentiles and medians of delays, but by this share of its aim.
-constexpr double kLateHigh = 1.3, kLateMedian = 2.0, kLateAim = 0.4;
-constexpr double kSilentLates = 1.6;  // a server without a reply for so many late times is benched
-constexpr double kBenchAims = 1.0, kBenchAimsMost = 6.0;  // first and longest bench, in shortest aims
-constexpr double kCloseAims = 0.5;                        // longest time without even a trial, in these
-// Of the aim: refused beyond where none of the refused come again, and where all do; until so many have.
-constexpr double kDoor = 1.3, kDoorAdvised = 0.6, kComeBacks = 8;
-// The door's correction: so that this share took no longer; largest step; share of the aim that teaches.
-constexpr double kInTime = 0.75, kBiasStep = 0.1, kEdge = 0.2;
-// Of queries, refused by chance when all were late; up to so many aggregators each knows enough for itself.
-constexpr double kShed = 0.9, kFewAggregators = 4, kJamStep = 0.5;
-constexpr double kCalm = 1.25, kJammed = 2.0;  // median over the calmest: copies cost nobody, or feed queues
-constexpr double kBaseDrift = 0.02;            // of the unqueued delay is forgotten in an aim: speeds change
-constexpr double kFairShare = 0.6;  // part of this aggregator's share of a cold server's limit that is used
-// Of the lowest tenth of full sets of samples: two or three times such a tenth's own error below it, for
-// delays that spread by half of their mean. Less than that is chance.
-constexpr double kLeastWork = 0.7;
-// Windows of the tipping rule for which shares are saved up: by the root of the fleet's size, at most.
-constexpr double kSavedByRoot = 1.0 / 3, kSavedWindows = 3;
-// A full server's window: what is left of the own parts that it held, and what each answer adds, in parts.
-constexpr double kCutBack = 0.8, kOpenUp = 2;
-constexpr double kWeightSlack = 5e-5;  // rounding of part weights
-constexpr double kWide = 0.25;  // a query of more parts than this share of the servers could kill too many
-constexpr std::size_t kNoChance = 2;  // errors in a row, servers dead under a query: a single one is chance
-constexpr double kTogether = 0.5;     // of the unqueued delay: failures closer are one, of one connection
-constexpr double kTooSoon = 0.05;     // of the unqueued delay: what breaks sooner no part has broken
-constexpr std::size_t kSamples = 96, kFewSamples = 8;  // delays kept for the percentiles; fewer say nothing
-constexpr double kUnknownWork = 0.1;  // work of a part before any was seen, as share of the shortest aim
-constexpr int kVotes = 8;             // queries that agree on the time of a first try, until it is firm
-constexpr double kHurry = 0.8;        // a client with less of the aim left may be in a hurry
-constexpr Nanos kLastTicks = 3, kDeathDeadlines = 2;  // before the aim, to get there; that deaths go on for
-constexpr char kTellSends = 1, kTellSilent = 2;       // kinds of messages
-constexpr double kSlow = 2.5, kDoubts = 1.5;  // slowness told to peers like silence; peers to agree on it
-constexpr double kInfinite = std::numeric_limits<double>::infinity();
+// ---- tuning ----
+//
+// Shares and ratios have no unit. Names that end in Aims are multiples of an aim (the response time that
+// earns full worth): of the shortest aim over all classes unless the comment names the query's own.
+
+// Hedging budgets, as shares of the parts sent. The first is the tenth that OPEN prescribes, the second keeps
+// all hedged requests together below a fifth.
+constexpr double kImmediateHedgeShare = 0.10;  // sent together with the part's first attempt
+constexpr double kHedgeShare = 0.18;           // all hedged requests, immediate and late
+
+// Share of the retry budget that hedged requests and probes may use; the rest is kept for parts that failed.
+constexpr double kHedgeBudgetShare = 0.5;
+
+// Retries after a time-out, per part: enough for a few failing servers, but no retry storm when all are slow.
+constexpr double kTimeoutRetryShare = 0.15;
+
+// Retries of rejected parts, per part sent; binds in large fleets only, see Impl::mayAttempt().
+constexpr double kRejectedRetryShare = 0.2;
+
+// Parts sent to ejected servers to find out whether they have recovered, per part sent.
+constexpr double kProbeShare = 0.03;
+
+// Tokens that a budget may accumulate: a burst of hedged requests must stay small.
+constexpr double kMaxSavedTokens = 4;
+
+// OPEN's guess for a replica with a pending part lies this far above the largest delay of the round.
+constexpr double kPendingGuessNs = 1;
+
+// A replica with a pending part is preferred when all replicas without one look slower by this ratio.
+constexpr double kPendingReplicaRatio = 1.5;
+
+// Work, in parts, that each of the aggregator's own parts in flight adds to a server's expected delay.
+constexpr double kRankingQueuePerPart = 0.5;    // when ranking replicas, times the number of aggregators
+constexpr double kAdmissionQueuePerPart = 1.0;  // in admission control, and the minimum when ranking
+
+// The same where peers announce what they send. Below 1, since parts share the cores of a server.
+constexpr double kKnownQueuePerPart = 0.5;
+
+// Share of the error in a predicted queue that the aggregator's own answer corrects.
+constexpr double kQueueCorrection = 0.5;
+
+// Upper limit of a part's typical delay, as a multiple of the unqueued delay (quickest tenth).
+constexpr double kMaxTypicalRatio = 2.0;
+
+// Common pace of all servers: relative step per answer, and limits.
+constexpr double kPaceStep = 0.04;
+constexpr double kMinPace = 0.5;
+constexpr double kMaxPace = 5;
+
+// Step towards the median of a zone's lag, as a share of the lag or of the unqueued delay.
+constexpr double kZoneLagStep = 0.15;
+
+// Time constant with which observations of a server or zone decay, and the estimate of overload.
+constexpr double kObservationDecayAims = 4;
+
+// Peers that have sent nothing for this long count as cut off.
+constexpr double kPeerTimeoutAims = 1;
+
+// Longest queue that is predicted for a server: behind any longer one a part would be just as late.
+constexpr double kMaxQueueAims = 2;
+
+constexpr std::size_t kMaxServersPerMessage = 120;  // two bytes each; a message holds 256 bytes at most
+
+// Ranking cost of opening a new call, in Settings::callOverhead: everything queued behind it pays as well.
+constexpr double kNewCallCost = 3;
+
+// Weight of Settings::crossZonePrice in the ranking of replicas.
+constexpr double kCrossZoneWeight = 10;
+
+// Time constant, in aims of the class, with which a last delay loses its influence.
+constexpr double kDelayDecayClassAims = 1.0;
+
+// A part is late after these multiples of the 90th percentile and of the median of delays, whichever is
+// longer, but no later than this share of its aim.
+constexpr double kLateP90Ratio = 1.3;
+constexpr double kLateMedianRatio = 2.0;
+constexpr double kMaxLateClassAims = 0.4;
+
+// A server that has not replied for this many times the time after which a part is late is ejected.
+constexpr double kUnresponsiveLateTimes = 1.6;
+
+// Ejection time: the first one, doubled each time up to the longest.
+constexpr double kFirstEjectionAims = 1.0;
+constexpr double kMaxEjectionAims = 6.0;
+
+// Longest time for which a server that failed at once receives nothing, not even a probe. Also the scale of
+// the retry advice for queries that are shed.
+constexpr double kMaxBlockAims = 0.5;
+
+// Admission limit, in the query's aim: a query is refused when its expected delay is longer. The first holds
+// where no refused client retries, the second where all do.
+constexpr double kAdmissionAims = 1.3;
+constexpr double kAdmissionAimsWithRetry = 0.6;
+
+// Until this many refusals have been counted the estimated share of clients that retry stays near 1.
+constexpr double kClientRetryPrior = 8;
+
+// Correction of admission control: learned so that this share of the queries took no longer than expected.
+constexpr double kBiasQuantile = 0.75;
+constexpr double kBiasStep = 0.1;  // largest step of the correction
+constexpr double kMinBias = 0.25;  // limits of the correction
+constexpr double kMaxBias = 1.25;
+constexpr double kMinBiasEvidenceShare = 0.2;  // queries expected to take less of their aim teach nothing
+
+// Share of the queries that is shed at random when all recent ones were late.
+constexpr double kMaxShedShare = 0.9;
+
+// Up to this many aggregators each sees enough of the traffic to decide on its own observations.
+constexpr double kSmallFleetAggregators = 4;
+
+constexpr double kOverloadStep = 0.5;  // weight of the latest query in the overload estimate
+
+// Median delay over the calmest median: up to the first, hedged requests cost nobody anything; from the
+// second on they only feed the queues.
+constexpr double kCalmMedianRatio = 1.25;
+constexpr double kOverloadMedianRatio = 2.0;
+
+// Share of the unqueued delay that is forgotten within an aim, since the speed of servers changes.
+constexpr double kBaselineDriftPerAim = 0.02;
+
+// Part of this aggregator's share of a cold server's slow-start limit that is used.
+constexpr double kFairShareUsed = 0.6;
+
+// Minimum estimate of a part's work, as a share of the lowest tenth of full sets of samples. For delays that
+// spread by half of their mean this is two or three times such a tenth's own error below it; anything lower
+// is chance.
+constexpr double kMinWorkRatio = 0.7;
+
+// Overload windows for which a slow-start share may be saved up: this times the root of the fleet's size, up
+// to the maximum.
+constexpr double kSavedWindowsPerRoot = 1.0 / 3;
+constexpr double kMaxSavedWindows = 3;
+
+// Concurrency window of an overloaded server: the share of its own parts in flight that is left, and the
+// parts that a full window of answers adds.
+constexpr double kWindowDecrease = 0.8;
+constexpr double kWindowIncreaseParts = 2;
+
+constexpr double kWeightTolerance = 5e-5;  // rounding of part weights
+
+// A query with more parts than this share of the servers could break too many of them at once.
+constexpr double kWideQueryShare = 0.25;
+
+// Consecutive failures of a server, or servers broken under one query, that count as more than chance.
+constexpr std::size_t kMinFailures = 2;
+
+// Failures closer together than this share of the unqueued delay count as one: they come from one connection.
+constexpr double kSameFailureRatio = 0.5;
+
+// A connection that breaks within this share of the unqueued delay was not broken by the part sent on it.
+constexpr double kImmediateResetRatio = 0.05;
+
+constexpr std::size_t kMaxSamples = 96;  // delays kept for the percentiles
+constexpr std::size_t kMinSamples = 8;   // with fewer the percentiles mean nothing
+
+constexpr double kInitialWorkAims = 0.1;  // assumed work of a part before any delay is known
+
+// Queries that agree on the time given to a client's first try, until that time counts as certain.
+constexpr int kMaxTryTimeVotes = 8;
+
+// A client that leaves less than this share of the aim may just be impatient, rather than on a retry.
+constexpr double kImpatientClientShare = 0.8;
+
+constexpr Nanos kAnswerLeadTicks = 3;          // ticks before the aim, for an answer to arrive in time
+constexpr Nanos kBreakageMemoryDeadlines = 2;  // longest deadlines for which broken connections may go on
+
+// Last byte of a message to peers: its kind.
+constexpr char kMessageSends = 1;         // servers that parts were sent to
+constexpr char kMessageUnresponsive = 2;  // servers found unresponsive; plus the sender's zone
+
+// A server slower than all others by this ratio is reported to peers as if it were unresponsive.
+constexpr double kSlowServerRatio = 2.5;
+
+// Decayed number of peers that must report a server before it counts as suspected.
+constexpr double kMinSuspicions = 1.5;
+
+// Weights of the old value and of the new one in a server's smoothed slowness.
+constexpr double kSlownessKept = 0.7;
+constexpr double kSlownessAdded = 0.3;
+
+constexpr double kInfinity = std::numeric_limits<double>::infinity();
 
 constexpr double num(auto number) { return static_cast<double>(number); }
 constexpr std::size_t idx(std::int64_t i) { return static_cast<std::size_t>(i); }
 constexpr Nanos nanos(double time) { return static_cast<Nanos>(time); }
 
-struct Memory {            // of one shard at one server
-  double delay = -1;       // last delay; below 0: unheard
-  Nanos at = 0;            // when it was heard
-  double ownThen = 0;      // parts known to be at the server when that part was sent
-  int pending = 0;         // parts out for this shard
-  Nanos pendingSince = 0;  // the last of them was sent then
+// What is known of one shard at one server.
+struct ShardRecord {
+  double lastDelay = -1;   // ns; below 0: unknown
+  Nanos heardAt = 0;       // when the last delay was observed
+  double partsAtSend = 0;  // parts known to be at the server when that part was sent
+  int pending = 0;         // own parts in flight for this shard
+  Nanos pendingSince = 0;  // when the latest of them was sent
 };
 
-struct Fading {  // a measured value that is forgotten with time
+// An observation that decays exponentially, see Impl::decayed().
+struct DecayingValue {
   double value = 0;
   Nanos at = 0;
 };
 
-struct Health {                             // what was learned of a server process
-  Nanos lastReply = 0;                      // 0: unheard
-  Nanos lastRepliedSent = 0;                // send time of the youngest attempt that it has answered
-  Nanos waited = 0;                         // for parts given up on since it last said something
-  Fading slowness{1};                       // smoothed delay over what was to be expected of any server
-  std::size_t failures = 0;                 // in a row
-  Nanos failedAt = 0;                       // the last of them
-  double bench = 0;                         // length of the last bench; 0: in good standing
-  Nanos benchedUntil = 0, closedUntil = 0;  // closed: it failed at once, nothing goes to it before then
-  double window = 0;                        // own parts that it bears at once, since it was full
-  Nanos cutAt = -1;                         // when it was; below 0: never
-  Nanos busyUntil = 0;                      // when all parts known to have been sent to it should be done
-  Fading doubts;                            // peers that have found it silent
+// What was learned of a server process; reset when the process restarts.
+struct ServerHealth {
+  Nanos lastReplyAt = 0;           // 0: never
+  Nanos newestAnsweredSendAt = 0;  // send time of the latest attempt that it has answered
+  Nanos unansweredTime = 0;        // waited for abandoned parts since its last sign of life
+  DecayingValue slowness{1};       // smoothed ratio of its delay to that expected of any server
+  std::size_t failures = 0;        // consecutive
+  Nanos lastFailureAt = 0;
+  double ejectionTime = 0;  // ns, length of the latest ejection; 0: not ejected
+  Nanos ejectedUntil = 0;
+  Nanos blockedUntil = 0;    // it failed at once: nothing is sent to it before then
+  double window = 0;         // own parts that it accepts concurrently, since it was overloaded
+  Nanos windowCutAt = -1;    // when it was last overloaded; below 0: never
+  Nanos busyUntil = 0;       // when all parts known to have been sent to it should be done
+  DecayingValue suspicions;  // number of peers that have reported it unresponsive
 };
 
-struct Server : Health {
+// One server named by the server list.
+struct Server : ServerHealth {
   ServerId id = 0;
-  unsigned code = 0;  // two bytes for messages: a mix-up costs a little order in the ranking, no more
-  int zone = 0, cell = 0;
+  unsigned messageCode = 0;  // two-byte hash for peer messages; a collision costs a little ranking quality
+  int zone = 0;
+  int cell = 0;
   ServerState state = ServerState::up;
   Nanos startedAt = 0;
-  std::uint64_t tieBreak = 0;  // drawn here: instances must not all prefer the same server
-  std::vector<Memory> memory;  // by shard
-  std::multiset<Nanos> outs;   // send times of own attempts out
-  Nanos waitsSince = 0;        // it has parts out and has said nothing since then
-  std::deque<Nanos> sends;     // within the tipping window
-  std::int64_t callTurn = -1;  // turn of its open call
-  int callParts = 0;
-  double out() const { return num(outs.size()); }
-  bool atLimit() const { return cutAt >= 0 && out() + 1 > std::max(1.0, window); }
-  Nanos mute(Nanos now) const { return waited + (outs.empty() ? 0 : now - waitsSince); }
+  std::uint64_t tieBreak = 0;  // random per instance, so that not all instances prefer the same server
+  std::vector<ShardRecord> shardRecords;  // by shard
+  std::multiset<Nanos> inFlight;          // send times of own attempts in flight
+  Nanos waitingSince = 0;                 // start of the present wait for a sign of life, unless idle
+  std::deque<Nanos> recentSends;          // within the overload window
+  std::int64_t callTurn = -1;             // turn of its open call
+  int callParts = 0;                      // parts in that call
+
+  double inFlightCount() const { return num(inFlight.size()); }
+  // Whether it was overloaded and one more part would exceed its concurrency window.
+  bool atLimit() const { return windowCutAt >= 0 && inFlightCount() + 1 > std::max(1.0, window); }
+  // Time that own parts have waited for it without any sign of life.
+  Nanos unresponsiveFor(Nanos now) const {
+    return unansweredTime + (inFlight.empty() ? 0 : now - waitingSince);
+  }
 };
 
-struct Pick {
-  Server* server = nullptr;
-  double delay = kInfinite;
+// A replica chosen for a part.
+struct Candidate {
+  Server* server = nullptr;  // none: no replica may receive the part
+  double delay = kInfinity;  // ns, expected
 };
 
+// One send of a part to a server.
 struct Attempt {
   Server* server;
   Nanos sentAt;
-  double ownThen;
-  bool out = true;
-  bool mayHaveRun = true;  // until proven otherwise
+  double partsAtSend;  // parts known to be at the server then
+  bool inFlight = true;
+  bool mayHaveRun = true;  // until the outcome proves otherwise
   bool rejected = false;
 };
 
+// One part of an open query, with its attempts in the order of their sends.
 struct Part {
   RequestId id;
-  int shard = 0, step = 1;
+  int shard = 0;
+  int step = 1;
   double weight = 0;
-  bool wanted = false, delivered = false;  // not wanted: a spare
+  bool wanted = false;  // false: a spare, sent only in place of a wanted part
+  bool delivered = false;
   std::vector<Attempt> attempts;
-  long outs() const {
-    return std::count_if(attempts.begin(), attempts.end(), [](const Attempt& a) { return a.out; });
+
+  long inFlightCount() const {
+    return std::count_if(attempts.begin(), attempts.end(), [](const Attempt& a) { return a.inFlight; });
   }
-  bool isOut() const { return outs() > 0; }
-  bool at(const Server& r, bool stillOut) const {
+  bool isInFlight() const { return inFlightCount() > 0; }
+  // Whether an attempt went to the server, or is still in flight there.
+  bool hasAttemptAt(const Server& r, bool inFlightOnly) const {
     return std::any_of(attempts.begin(), attempts.end(),
-                       [&](const Attempt& a) { return a.server == &r && (a.out || !stillOut); });
+                       [&](const Attempt& a) { return a.server == &r && (a.inFlight || !inFlightOnly); });
   }
 };
 
+// An open query.
 struct Query {
   RequestId id;
   const QueryClass* cls = nullptr;
-  Nanos arrived = 0;
-  Nanos due = 0;      // the client's time is up
-  Nanos aimAt = 0;    // an answer by then has the full worth, as the client sees it over all its tries
-  double hoped = 0;   // ns, what the door expected of it
-  double target = 1;  // weight of parts that it goes for
+  Nanos arrivedAt = 0;
+  Nanos dueAt = 0;           // when the client stops waiting
+  Nanos aimAt = 0;           // an answer by then earns full worth, measured over all tries of the client
+  double expectedDelay = 0;  // ns, as admission control estimated it
+  double targetWeight = 1;   // weight of parts that is requested
   int step = 1;
-  bool planned = false, repeat = false, firstWhole = false;  // whole: the first step's answer was complete
-  bool wary = false, held = false;    // a single part is tried first; the others wait for it
-  bool proven = false;                // a server has survived a part of it
-  std::vector<const Server*> lost{};  // servers whose connection broke under it
+  bool planned = false;
+  bool isRetry = false;         // marked as a retry by the client
+  bool firstStepWhole = false;  // the first step's answer was complete
+  bool suspect = false;         // may break servers: one part is tried at a time, see Impl::isCautious()
+  bool held = false;            // parts are held back until the first one has proven harmless
+  bool proven = false;          // a server has survived a part of it
+  std::vector<const Server*> brokenServers{};  // servers whose connection broke under it
   std::vector<Part> parts{};
-  bool tried() const {
+
+  bool hasAttempts() const {
     return std::any_of(parts.begin(), parts.end(), [](const Part& p) { return !p.attempts.empty(); });
   }
-  bool anyOut() const {
-    return std::any_of(parts.begin(), parts.end(), [](const Part& p) { return p.isOut(); });
+  bool anyInFlight() const {
+    return std::any_of(parts.begin(), parts.end(), [](const Part& p) { return p.isInFlight(); });
   }
-  double got(int ofStep) const {
+  double deliveredWeight(int ofStep) const {
     double sum = 0;
     for (const auto& p : parts) sum += p.step == ofStep && p.delivered ? p.weight : 0;
     return sum;
@@ -186,895 +337,1124 @@
 
 }  // namespace
 
+// State and rules of one aggregator. A turn handles its events, then runTurn() advances every open query.
 struct Aggregator::Impl {
-  explicit Impl(Settings given) : set(std::move(given)), fault(findFault(set)), random(set.seed) {
-    if (fault) return;
-    shortestAim = set.classes.front().aim;
-    for (const auto& c : set.classes) shortestAim = std::min(shortestAim, c.aim);
-    holders.resize(idx(set.shards));
-    rounds.resize(idx(set.shards), -1);
-    waiting.resize(idx(set.shards), 0);
-    tryTime.resize(set.classes.size());
-    for (const auto& c : set.classes) longestDeadline = std::max(longestDeadline, c.deadline);
-    for (const auto& c : set.classes) leastLate = std::max(leastLate, c.leastLate);
-  }
-
-  Settings set;
-  std::optional<std::string> fault;
+  explicit Impl(Settings given)
+      : settings(std::move(given)), settingsFault(findFault(settings)), random(settings.seed) {
+    if (settingsFault) return;
+    shortestAim = settings.classes.front().aim;
+    for (const auto& c : settings.classes) shortestAim = std::min(shortestAim, c.aim);
+    holders.resize(idx(settings.shards));
+    roundDelays.resize(idx(settings.shards), -1);
+    waitingParts.resize(idx(settings.shards), 0);
+    firstTryTimes.resize(settings.classes.size());
+    for (const auto& c : settings.classes) longestDeadline = std::max(longestDeadline, c.deadline);
+    for (const auto& c : settings.classes) leastLate = std::max(leastLate, c.leastLate);
+  }
+
+  Settings settings;
+  std::optional<std::string> settingsFault;
   std::mt19937_64 random;
   Nanos now = 0;
   std::int64_t turn = 0;
-  Nanos shortestAim = 0, longestDeadline = 0, leastLate = 0;  // over all classes
+  Nanos shortestAim = 0;      // over all classes
+  Nanos longestDeadline = 0;  // over all classes
+  Nanos leastLate = 0;        // longest QueryClass::leastLate
   std::vector<Action> actions;
 
-  Nanos lastHeard = -1;                             // from any peer; below 0: never
-  std::map<int, Fading> lags;                       // by zone
-  double pace = 1;                                  // of all servers: delays over what their queues explain
-  std::vector<Server*> justSent, lastSent, silent;  // for the peers: sent parts this turn, last; found so
-  std::unordered_map<unsigned, Server*> byCode;
-  std::map<ServerId, Server> servers;  // every server ever named by a list
-  std::vector<std::vector<Server*>> holders;
-  std::vector<double> rounds;   // by shard: largest delay heard since the last pick; below 0: none
-  std::vector<double> waiting;  // by shard: parts of older queries that have found no server in this turn
-  Nanos askAt = -1;             // next call to the list; below 0: none planned
-  double askWait = 0;           // ns, grows with failures
-
-  std::map<QueryNo, Query> queries;                // open ones
-  std::unordered_map<RequestId, QueryNo> queryOf;  // by the id of the query or of a part
-  std::deque<Nanos> taken, extras;                 // within the budget's window
-  std::vector<std::pair<Nanos, int>> tryTime;      // by class, of a client's first try, and votes for it
-  Nanos lastDeath = -1;                            // a connection broke
-  double twinTokens = 1, copyTokens = 1, resendTokens = 1, trialTokens = 1, repeatTokens = kTokenCap;
-
-  std::deque<double> samples;  // delays of the latest delivered parts
-  double low = 0, median = 0, high = 0;
-  double unqueued = 0;  // delay of a part that meets no queue
-  double fullLow = 0;   // the same, but a minimum only of full sets of samples
-  double calm = 0;      // median delay in the calmest time
-  Nanos unqueuedAt = 0, timerAt = -1;
-  std::size_t refusals = 0, repeats = 0;  // given, and come in
-  Fading jam;       // how late the latest queries were: 0 all in good time, 1 all past their aim
-  double bias = 1;  // time taken over what the door expected, at most so in kInTime of the queries
-
-  double faded(const Fading& f, double usual, double aims = kForgetAims) const {
-    return usual + (f.value - usual) * std::exp(-num(now - f.at) / (aims * num(shortestAim)));
-  }
-  double unit() { return num(random() >> 11) * 0x1.0p-53; }
+  Nanos lastPeerMessageAt = -1;           // below 0: never
+  std::map<int, DecayingValue> zoneLags;  // by zone, ns
+  double pace = 1;                        // of all servers: ratio of delays to what their queues explain
+  std::vector<Server*> sentThisTurn;      // servers that parts were sent to, to be announced to peers
+  std::vector<Server*> sentLastTurn;
+  std::vector<Server*> foundUnresponsive;  // or very slow, to be announced to peers
+  std::unordered_map<unsigned, Server*> serverByCode;
+  std::map<ServerId, Server> servers;         // every server named by a list and not yet evicted
+  std::vector<std::vector<Server*>> holders;  // by shard: the servers that are up and hold it
+  std::vector<double> roundDelays;   // by shard: largest delay since the last pick, ns; below 0: none
+  std::vector<double> waitingParts;  // by shard: parts of older queries that found no server in this turn
+  Nanos listRequestAt = -1;          // next request for the server list; below 0: none scheduled
+  double listRetryWait = 0;          // ns, grows with each failure
+
+  std::map<QueryNo, Query> queries;                       // open ones
+  std::unordered_map<RequestId, QueryNo> queryByRequest;  // by the id of the query or of a part
+  std::deque<Nanos> acceptedAt;                           // queries and parts within the budget's window
+  std::deque<Nanos> retriedAt;                            // further attempts within the budget's window
+  std::vector<std::pair<Nanos, int>> firstTryTimes;       // by class: time given to a first try, and votes
+  Nanos lastBreakageAt = -1;                              // a connection broke; below 0: never
+  double immediateHedgeTokens = 1;
+  double hedgeTokens = 1;
+  double timeoutRetryTokens = 1;
+  double probeTokens = 1;
+  double rejectedRetryTokens = kMaxSavedTokens;
+
+  std::deque<double> samples;  // delays of the latest delivered parts, ns
+  double p10Delay = 0;         // percentiles of the samples, ns
+  double medianDelay = 0;
+  double p90Delay = 0;
+  double unqueuedDelay = 0;  // ns, delay of a part that meets no queue
+  double fullSetP10 = 0;     // the same, but the minimum over full sets of samples only
+  double calmMedian = 0;     // ns, median delay in the calmest time
+  Nanos lastSampleAt = 0;
+  Nanos timerAt = -1;             // when the latest timer expires
+  std::size_t refusals = 0;       // refusals sent
+  std::size_t clientRetries = 0;  // retries received
+  DecayingValue overload;    // how late the latest queries were: 0 all well in time, 1 all past their aim
+  double admissionBias = 1;  // time taken over the time expected, not exceeded by kBiasQuantile of queries
+
+  // Returns the value as it has decayed towards `usual` by now.
+  double decayed(const DecayingValue& v, double usual, double aims = kObservationDecayAims) const {
+    return usual + (v.value - usual) * std::exp(-num(now - v.at) / (aims * num(shortestAim)));
+  }
+  // Draws a random number from [0, 1).
+  double uniform01() { return num(random() >> 11) * 0x1.0p-53; }
   void log(std::string text) { actions.push_back(Log{std::move(text)}); }
 
-  // ---- the list of servers ----
+  // ---- server list ----
 
-  void take(const ListNews& told) {
-    if (told.scope == ListNews::Scope::failed) return planAsk(true);
-    if (told.scope == ListNews::Scope::initial) planAsk(false);
-    askWait = 0;
-    if (told.scope != ListNews::Scope::changes)  // what a full list does not name has left
+  void onEvent(const ListNews& update) {
+    if (update.scope == ListNews::Scope::failed) {
+      scheduleListRequest(true);
+      return;
+    }
+    if (update.scope == ListNews::Scope::initial) scheduleListRequest(false);
+    listRetryWait = 0;
+    if (update.scope != ListNews::Scope::changes)  // servers that a full list omits have left
       for (auto& [id, server] : servers) server.state = ServerState::gone;
-    for (const auto& entry : told.entries) takeEntry(entry);
-    forgetGone();
-    std::vector<std::vector<Server*>> members(idx(set.cells));
+    for (const auto& entry : update.entries) applyEntry(entry);
+    evictGoneServers();
+    std::vector<std::vector<Server*>> cellMembers(idx(settings.cells));
     for (auto& [id, server] : servers)
-      if (server.state == ServerState::up && server.cell >= 0 && server.cell < set.cells)
-        members[idx(server.cell)].push_back(&server);
-    for (int s = 0; s < set.shards; ++s) {
+      if (server.state == ServerState::up && server.cell >= 0 && server.cell < settings.cells)
+        cellMembers[idx(server.cell)].push_back(&server);
+    for (int s = 0; s < settings.shards; ++s) {
       auto& list = holders[idx(s)];
       list.clear();
-      for (int j = 0; j < std::min(set.reach, set.cells); ++j)
-        for (auto* server : members[idx((s + j) % set.cells)]) list.push_back(server);
+      for (int j = 0; j < std::min(settings.reach, settings.cells); ++j)
+        for (auto* server : cellMembers[idx((s + j) % settings.cells)]) list.push_back(server);
     }
   }
 
-  // Replaced day after day, servers must not fill the memory: one that has gone goes once nothing names it.
-  void forgetGone() {
-    std::set<const Server*> named(silent.begin(), silent.end());
-    for (const auto* list : {&justSent, &lastSent}) named.insert(list->begin(), list->end());
+  // Evicts servers that have gone and that nothing refers to: servers are replaced every day, so their
+  // records would otherwise fill the memory.
+  void evictGoneServers() {
+    std::set<const Server*> referenced(foundUnresponsive.begin(), foundUnresponsive.end());
+    for (const auto* list : {&sentThisTurn, &sentLastTurn}) referenced.insert(list->begin(), list->end());
     for (const auto& [number, q] : queries) {
-      named.insert(q.lost.begin(), q.lost.end());
+      referenced.insert(q.brokenServers.begin(), q.brokenServers.end());
       for (const auto& part : q.parts)
-        for (const auto& a : part.attempts) named.insert(a.server);
+        for (const auto& a : part.attempts) referenced.insert(a.server);
     }
-    std::erase_if(byCode, [&](const auto& e) { return gone(*e.second) && named.count(e.second) == 0; });
-    std::erase_if(servers, [&](const auto& e) { return gone(e.second) && named.count(&e.second) == 0; });
+    std::erase_if(serverByCode,
+                  [&](const auto& e) { return isGone(*e.second) && referenced.count(e.second) == 0; });
+    std::erase_if(servers,
+                  [&](const auto& e) { return isGone(e.second) && referenced.count(&e.second) == 0; });
   }
-  static bool gone(const Server& r) { return r.state == ServerState::gone; }
+  static bool isGone(const Server& r) { return r.state == ServerState::gone; }
 
-  void takeEntry(const ServerEntry& entry) {
-    auto [at, fresh] = servers.try_emplace(entry.server);
+  void applyEntry(const ServerEntry& entry) {
+    auto [at, isNew] = servers.try_emplace(entry.server);
     Server& server = at->second;
-    // A start in the future is absurd: it counts as a start now, the safest reading.
+    // A start in the future is invalid and counts as a start now: that is the coldest it can be.
     const Nanos started = std::min(entry.startedAt, now);
-    if (fresh) {
+    if (isNew) {
       server.id = entry.server;
       server.tieBreak = random();
-      server.memory.resize(idx(set.shards));
-      server.code = static_cast<unsigned>((server.id * 0x9E3779B97F4A7C15ULL) >> 48);
-      byCode[server.code] = &server;
+      server.shardRecords.resize(idx(settings.shards));
+      server.messageCode = static_cast<unsigned>((server.id * 0x9E3779B97F4A7C15ULL) >> 48);
+      serverByCode[server.messageCode] = &server;
     } else if (started > server.startedAt) {  // a new process: what was learned of the old one is void
-      for (auto& memory : server.memory) memory.delay = -1;
-      static_cast<Health&>(server) = Health{};
+      for (auto& record : server.shardRecords) record.lastDelay = -1;
+      static_cast<ServerHealth&>(server) = ServerHealth{};
     }
-    std::tie(server.zone, server.cell, server.state) = std::tie(entry.zone, entry.cell, entry.state);
+    server.zone = entry.zone;
+    server.cell = entry.cell;
+    server.state = entry.state;
     server.startedAt = std::max(server.startedAt, started);
   }
 
-  // Asks again soon after a failure, then ever more slowly, each instance at times of its own: restarted
-  // together, they would jam the list. Always well within the time after which news counts as told.
-  void planAsk(bool failed) {
-    if (!set.listOnRequest) return;
-    askAt = now;
+  // Schedules the next request for the server list: at once, or after a failure with exponential backoff
+  // and jitter, since instances restarted together would otherwise overload discovery. The wait never
+  // exceeds half of Settings::askWithin (four shortest aims where that is unset), so that updates still
+  // arrive in time.
+  void scheduleListRequest(bool failed) {
+    if (!settings.listOnRequest) return;
+    listRequestAt = now;
     if (!failed) return;
-    const double most = num(set.askWithin > 0 ? set.askWithin : shortestAim * 4) / 2;
-    askWait = std::min(most, askWait > 0 ? askWait * 2 : num(shortestAim) / 2);
-    askAt += nanos(askWait * (0.5 + unit() / 2));
+    const double most = num(settings.askWithin > 0 ? settings.askWithin : shortestAim * 4) / 2;
+    listRetryWait = std::min(most, listRetryWait > 0 ? listRetryWait * 2 : num(shortestAim) / 2);
+    listRequestAt += nanos(listRetryWait * (0.5 + uniform01() / 2));
   }
 
-  // ---- what peers tell ----
+  // ---- messages between aggregators ----
 
-  // Where messages are allowed each tells which servers it has just sent parts: without, all herd onto the
-  // same replicas unseen. Told a turn later, without what failed at once: that is no work for anyone. When
-  // nothing is heard any more, own parts stand for the others' again.
-  void tellPeers() {
-    const char told = static_cast<char>(kTellSilent + set.zone);  // another zone may have another way there
-    tell(lastSent, kTellSends), tell(silent, told);
-    lastSent = std::exchange(justSent, {}), silent.clear();
+  // Announces to peers which servers this instance has sent parts to, where messages are allowed; otherwise
+  // all aggregators would herd onto the same replicas without seeing each other. Sends are announced one turn
+  // later and without those that failed at once, which are no work for any server. When no peer is heard any
+  // more, the own parts in flight again stand for the peers' parts, see expectedDelay().
+  void announceToPeers() {
+    // Only peers of this zone use it: another zone may have a different path to the server.
+    const char unresponsiveKind = static_cast<char>(kMessageUnresponsive + settings.zone);
+    sendServersToPeers(sentLastTurn, kMessageSends);
+    sendServersToPeers(foundUnresponsive, unresponsiveKind);
+    sentLastTurn = std::exchange(sentThisTurn, {});
+    foundUnresponsive.clear();
   }
 
-  void tell(const std::vector<Server*>& which, char kind) {
+  void sendServersToPeers(const std::vector<Server*>& list, char kind) {
     std::string bytes;
-    for (const auto* r : which) bytes += {static_cast<char>(r->code >> 8), static_cast<char>(r->code & 255)};
-    for (std::size_t i = 0; i < bytes.size() && set.messages; i += 2 * kTellMost)
-      actions.push_back(Tell{bytes.substr(i, 2 * kTellMost) + kind, std::nullopt});
+    for (const auto* r : list)
+      bytes += {static_cast<char>(r->messageCode >> 8), static_cast<char>(r->messageCode & 255)};
+    for (std::size_t i = 0; i < bytes.size() && settings.messages; i += 2 * kMaxServersPerMessage)
+      actions.push_back(Tell{bytes.substr(i, 2 * kMaxServersPerMessage) + kind, std::nullopt});
   }
 
-  void take(const PeerMessage& e) {
+  void onEvent(const PeerMessage& e) {
     if (e.bytes.size() % 2 != 1) return;
-    lastHeard = now;
+    lastPeerMessageAt = now;
     for (std::size_t i = 0; i + 1 < e.bytes.size(); i += 2) {
       const auto byte = [&](std::size_t k) { return static_cast<unsigned char>(e.bytes[k]); };
-      const auto at = byCode.find(256U * byte(i) + byte(i + 1));
-      if (at == byCode.end()) continue;
+      const auto at = serverByCode.find(256U * byte(i) + byte(i + 1));
+      if (at == serverByCode.end()) continue;
       Server& r = *at->second;
-      if (e.bytes.back() == kTellSends) queue(r);
-      if (e.bytes.back() == kTellSilent + set.zone) r.doubts = {faded(r.doubts, 0) + 1, now};
+      if (e.bytes.back() == kMessageSends) addToQueue(r);
+      if (e.bytes.back() == kMessageUnresponsive + settings.zone)
+        r.suspicions = {decayed(r.suspicions, 0) + 1, now};
     }
   }
 
-  // Silent or very slow for several peers and not heard lately: tried last. Each aggregator would find out on
-  // a query of its own otherwise. Own replies outrank it, since a server may be bad for others alone.
-  bool doubted(const Server& r) const {
-    return faded(r.doubts, 0) > kDoubts && num(now - r.lastReply) > num(shortestAim);
+  // Whether several peers report the server as unresponsive or very slow and it has not answered here lately:
+  // it is tried last. Without this each aggregator would find out on a query of its own. Own replies outrank
+  // the reports, since a server may be unreachable for others only.
+  bool isSuspected(const Server& r) const {
+    return decayed(r.suspicions, 0) > kMinSuspicions && num(now - r.lastReplyAt) > num(shortestAim);
   }
 
-  bool hearing() const { return lastHeard >= 0 && num(now - lastHeard) < kHeardAims * num(shortestAim); }
+  bool hearsPeers() const {
+    return lastPeerMessageAt >= 0 && num(now - lastPeerMessageAt) < kPeerTimeoutAims * num(shortestAim);
+  }
 
-  // Parts known to be at a server: own ones out, or where peers are heard the queue that all have made, which
-  // drains by itself and is set right by each own answer.
-  double parts(const Server& r) const {
-    return hearing() ? num(std::max<Nanos>(0, r.busyUntil - now)) / (kSeenQueue * usualWork())
-                     : r.out() / set.parallel;
+  // Parts known to be at a server: own ones in flight or, where peers are heard, the predicted queue from all
+  // aggregators, which drains with time and is corrected by each own answer.
+  double partsAt(const Server& r) const {
+    return hearsPeers() ? num(std::max<Nanos>(0, r.busyUntil - now)) / (kKnownQueuePerPart * typicalDelay())
+                        : r.inFlightCount() / settings.parallel;
   }
-  double queued(double ahead) const { return (1 + kSeenQueue * ahead) * usualWork(); }
-  double reckoned(const Attempt& a) const { return queued(a.ownThen) + lagNow(*a.server); }
+  // Delay of a part behind this many others, ns.
+  double queuedDelay(double ahead) const { return (1 + kKnownQueuePerPart * ahead) * typicalDelay(); }
+  // Delay of an attempt as its queue at the send predicts it, ns.
+  double predictedDelay(const Attempt& a) const { return queuedDelay(a.partsAtSend) + zoneLag(*a.server); }
 
-  // What all servers of a zone take longer than those of the nearest: a slow way there, which is no fault of
-  // a server and adds to each part alike. Guards against links, partitions and far zones; less than a part's
-  // work is chance. May blame a zone for its sick servers where most are, for a while.
-  double lagNow(const Server& r) const {
-    double own = 0, least = kInfinite;
-    for (const auto& [zone, lag] : lags) {
-      least = std::min(least, faded(lag, 0));
-      if (zone == r.zone) own = faded(lag, 0);
+  // How much longer all servers of a zone take than those of the nearest zone, ns: a slow path, which is no
+  // fault of a single server and adds to each part alike. Protects against slow links, partitions and distant
+  // zones; less than the unqueued delay is chance. Where most servers of a zone fail it may blame the zone
+  // for a while.
+  double zoneLag(const Server& r) const {
+    double own = 0;
+    double least = kInfinity;
+    for (const auto& [zone, lag] : zoneLags) {
+      least = std::min(least, decayed(lag, 0));
+      if (zone == r.zone) own = decayed(lag, 0);
     }
-    return own - least > work() ? own - least : 0;
+    return own - least > unqueued() ? own - least : 0;
   }
-  void learnLag(const Server& r, double excess) {
-    if (!hearing()) return;
-    const double lag = faded(lags[r.zone], 0), step = kLagStep * std::max(work(), lag);  // towards the median
-    lags[r.zone] = {std::max(0.0, lag + (excess > lag ? step : -step)), now};
+  // Moves the lag of the server's zone a fixed step towards an observed one, so that it follows the median.
+  void updateZoneLag(const Server& r, double excess) {
+    if (!hearsPeers()) return;
+    const double lag = decayed(zoneLags[r.zone], 0);
+    const double step = kZoneLagStep * std::max(unqueued(), lag);
+    zoneLags[r.zone] = {std::max(0.0, lag + (excess > lag ? step : -step)), now};
   }
-  void correct(const Attempt& a, double delay) {
-    const double early = reckoned(a) - delay;  // answered sooner than reckoned
-    a.server->busyUntil = std::max(now, a.server->busyUntil - nanos(kCorrect * early));
+  // Corrects the predicted queue of the attempt's server by an observed delay.
+  void correctQueue(const Attempt& a, double delay) {
+    const double early = predictedDelay(a) - delay;  // answered sooner than predicted
+    a.server->busyUntil = std::max(now, a.server->busyUntil - nanos(kQueueCorrection * early));
   }
-  void queue(Server& r, int more = 1) {
-    const Nanos work = nanos(more * kSeenQueue * usualWork() * faded(r.slowness, 1));
-    r.busyUntil = std::min(std::max(r.busyUntil, now) + work, now + nanos(kLongestQueue * num(shortestAim)));
+  // Adds parts to the predicted queue of the server; a negative count removes them.
+  void addToQueue(Server& r, int count = 1) {
+    const Nanos work = nanos(count * kKnownQueuePerPart * typicalDelay() * decayed(r.slowness, 1));
+    r.busyUntil = std::min(std::max(r.busyUntil, now) + work, now + nanos(kMaxQueueAims * num(shortestAim)));
   }
 
   // ---- delays and ranking ----
 
-  void sample(double delay) {
+  // Adds the delay of a delivered part to the samples and updates percentiles and baselines.
+  void addSample(double delay) {
     samples.push_back(delay);
-    if (samples.size() > kSamples) samples.pop_front();
+    if (samples.size() > kMaxSamples) samples.pop_front();
     std::vector<double> sorted(samples.begin(), samples.end());
     std::sort(sorted.begin(), sorted.end());
     const auto at = [&](std::size_t tenths) { return sorted[samples.size() * tenths / 10]; };
-    low = at(1), median = at(5), high = at(9);
-    if (!known()) return;
-    const double drift = kBaseDrift * num(now - unqueuedAt) / num(shortestAim);
-    unqueued = unqueued > 0 ? std::min(low, unqueued * (1 + drift)) : low;
-    calm = calm > 0 ? std::min(median, calm * (1 + drift)) : median;
-    // The tenth of the first few is their least: a minimum with that stays low by chance for long.
-    fullLow = samples.size() == kSamples && fullLow > 0 ? std::min(low, fullLow * (1 + drift)) : low;
-    unqueuedAt = now;
-  }
-
-  // How far copies may be made: 1 when delays show no queueing, 0 in a jam.
-  double relief() const {
-    return known() ? std::clamp((kJammed - median / calm) / (kJammed - kCalm), 0.0, 1.0) : 1;
-  }
-
-  bool known() const { return samples.size() >= kFewSamples; }
-  // Delay of a part at a server without a queue, by the pace at which all of them answer lately.
-  double usualWork() const {
-    if (!known()) return kUnknownWork * num(shortestAim);
-    return std::min(calm, kTypical * unqueued) * faded({pace, unqueuedAt}, 1, 1);
-  }
-  double work() const { return known() ? unqueued : kUnknownWork * num(shortestAim); }
-
-  double partWork(double whole) const { return std::max(whole / 2, whole - num(set.callOverhead)); }
-
+    p10Delay = at(1);
+    medianDelay = at(5);
+    p90Delay = at(9);
+    if (!hasSamples()) return;
+    const double drift = kBaselineDriftPerAim * num(now - lastSampleAt) / num(shortestAim);
+    unqueuedDelay = unqueuedDelay > 0 ? std::min(p10Delay, unqueuedDelay * (1 + drift)) : p10Delay;
+    calmMedian = calmMedian > 0 ? std::min(medianDelay, calmMedian * (1 + drift)) : medianDelay;
+    // The lowest tenth of only a few samples is their minimum: a baseline based on it would stay too low.
+    fullSetP10 = samples.size() == kMaxSamples && fullSetP10 > 0
+                     ? std::min(p10Delay, fullSetP10 * (1 + drift))
+                     : p10Delay;
+    lastSampleAt = now;
+  }
+
+  // Share of the hedging budget that may be earned: 1 when delays show no queueing, 0 under overload.
+  double hedgingShare() const {
+    return hasSamples() ? std::clamp((kOverloadMedianRatio - medianDelay / calmMedian) /
+                                         (kOverloadMedianRatio - kCalmMedianRatio),
+                                     0.0, 1.0)
+                        : 1;
+  }
+
+  bool hasSamples() const { return samples.size() >= kMinSamples; }
+  // Delay of a part at a server without a queue, at the pace at which all servers have answered lately, ns.
+  double typicalDelay() const {
+    if (!hasSamples()) return kInitialWorkAims * num(shortestAim);
+    return std::min(calmMedian, kMaxTypicalRatio * unqueuedDelay) * decayed({pace, lastSampleAt}, 1, 1);
+  }
+  // Unqueued delay of a part, or the assumed one while there are too few samples, ns.
+  double unqueued() const { return hasSamples() ? unqueuedDelay : kInitialWorkAims * num(shortestAim); }
+
+  // A part's own work in a delay that includes the overhead of a call: at least half of it.
+  double partWork(double whole) const { return std::max(whole / 2, whole - num(settings.callOverhead)); }
+
+  // Time after which an unanswered part of the class counts as late, ns.
   double lateAfter(const QueryClass& cls) const {
-    const double most = kLateAim * num(cls.aim);
-    const double late = known() ? std::min(most, std::max(kLateHigh * high, kLateMedian * median)) : most;
+    const double most = kMaxLateClassAims * num(cls.aim);
+    const double late =
+        hasSamples() ? std::min(most, std::max(kLateP90Ratio * p90Delay, kLateMedianRatio * medianDelay))
+                     : most;
     return std::max(late, num(cls.leastLate));
   }
 
+  // Share of its capacity that a server of this age has.
   double warmth(Nanos age) const {
-    if (set.coldFor <= 0 || age >= set.coldFor) return 1;
-    return set.coldFrom + (1 - set.coldFrom) * num(std::max<Nanos>(age, 0)) / num(set.coldFor);
+    if (settings.coldFor <= 0 || age >= settings.coldFor) return 1;
+    return settings.coldFrom + (1 - settings.coldFrom) * num(std::max<Nanos>(age, 0)) / num(settings.coldFor);
   }
-  bool cold(const Server& r) const { return r.startedAt > 0 && now - r.startedAt < set.coldFor; }
+  bool isCold(const Server& r) const { return r.startedAt > 0 && now - r.startedAt < settings.coldFor; }
 
-  double shardMean(int shard) const {
-    double sum = 0, n = 0;
+  // Mean of the last delays of a shard's holders, ns; below 0: none is known.
+  double meanShardDelay(int shard) const {
+    double sum = 0;
+    double n = 0;
     for (const auto* r : holders[idx(shard)]) {
-      const auto& m = r->memory[idx(shard)];
-      if (m.delay >= 0) sum += m.delay, n += 1;
+      const auto& record = r->shardRecords[idx(shard)];
+      if (record.lastDelay >= 0) {
+        sum += record.lastDelay;
+        n += 1;
+      }
     }
     return n > 0 ? sum / n : -1;
   }
 
-  // What the design ranks by: the last delay of this shard at this replica, or the guess where it is pending.
-  // Added: it fades towards what the server shows lately, own parts out count as queue,
-  // and the age of the oldest unanswered part is a lower bound.
-  double expected(const Server& r, int shard, const QueryClass& cls, bool door = false) const {
-    const auto& m = r.memory[idx(shard)];
-    const double aim = num(cls.aim), mean = shardMean(shard), largest = rounds[idx(shard)];
+  // Expected delay of a part at a replica, ns, by which replicas are ranked and queries admitted. OPEN takes
+  // the last delay of this shard at this replica, or the guess while a part is pending there. Added to that:
+  // the last delay decays towards what the server shows in general, own parts in flight count as queue, and
+  // the age of the oldest unanswered part is a lower bound.
+  double expectedDelay(const Server& r, int shard, const QueryClass& cls, bool forAdmission = false) const {
+    const auto& record = r.shardRecords[idx(shard)];
+    const double aim = num(cls.aim);
+    const double mean = meanShardDelay(shard);
+    const double largest = roundDelays[idx(shard)];
     double general = mean >= 0 ? mean : aim / 2;
-    if (r.lastReply > 0 && known()) general = (hearing() ? usualWork() : median) * faded(r.slowness, 1);
-    general += lagNow(r);
-    double guess = general, ownThen = 0;
-    if (m.delay >= 0) {
-      const double keep = std::exp(-num(now - m.at) / (kMemoryAims * aim));
-      guess = keep * m.delay + (1 - keep) * general;
-      ownThen = keep * m.ownThen;
+    if (r.lastReplyAt > 0 && hasSamples())
+      general = (hearsPeers() ? typicalDelay() : medianDelay) * decayed(r.slowness, 1);
+    general += zoneLag(r);
+    double guess = general;
+    double partsAtSend = 0;
+    if (record.lastDelay >= 0) {
+      const double keep = std::exp(-num(now - record.heardAt) / (kDelayDecayClassAims * aim));
+      guess = keep * record.lastDelay + (1 - keep) * general;
+      partsAtSend = keep * record.partsAtSend;
     }
-    if (m.pending > 0)
-      guess = std::max({guess, largest >= 0 ? largest + kEpsilon : 0, num(now - m.pendingSince)});
-    if (cold(r) && m.delay < 0) guess = std::max(guess, work() / warmth(now - r.startedAt));
-    // Passed over for an aim it gets one part: among quick replicas no query would come to it for long.
-    if (cold(r) && r.lastReply == 0 && r.outs.empty() && now - r.startedAt > shortestAim) guess = work();
-    // The ranking takes unheard aggregators to herd as this one does. Parts of a turn's call cost their work.
-    const double own = door ? kOwnAtDoor : std::max(kOwnAtDoor, kOwnQueue * set.aggregators);
+    if (record.pending > 0)
+      guess = std::max({guess, largest >= 0 ? largest + kPendingGuessNs : 0, num(now - record.pendingSince)});
+    if (isCold(r) && record.lastDelay < 0) guess = std::max(guess, unqueued() / warmth(now - r.startedAt));
+    // A cold server that received nothing for an aim gets one part: among quick replicas no query would
+    // choose it for a long time.
+    if (isCold(r) && r.lastReplyAt == 0 && r.inFlight.empty() && now - r.startedAt > shortestAim)
+      guess = unqueued();
+    // Without peer messages the ranking assumes that the other aggregators herd as this one does. Parts that
+    // join a call of this turn cost only their own work.
+    const double own = forAdmission
+                           ? kAdmissionQueuePerPart
+                           : std::max(kAdmissionQueuePerPart, kRankingQueuePerPart * settings.aggregators);
     const int joined = r.callTurn == turn ? r.callParts : 0;
-    guess += (parts(r) - joined - ownThen) * (hearing() ? kSeenQueue * usualWork() : own * work());
-    guess += joined * partWork(work()) / 2;
-    if (joined % set.partsPerCall == 0) guess += kCallCost * num(set.callOverhead);
-    guess = std::max(guess, work());
-    if (!r.outs.empty() && r.lastReply < *r.outs.begin()) guess = std::max(guess, num(now - *r.outs.begin()));
-    return guess * (r.zone == set.zone ? 1 : 1 + kZoneWeight * set.crossZonePrice);
-  }
-
-  // What the door expects. A replica with nothing out, silent for longer than the delay it is blamed for, has
-  // had the time to drain: a trial. Guards against a door kept shut by its own old evidence.
-  double atDoor(const Part& part, const Query& q) {
-    const auto* r = pick(part, *q.cls).server;
-    const Nanos opens = opensAt(part);
-    if (!r) return opens < q.due ? num(opens - now) + work() + waitAtLimit(part, *q.cls) : kInfinite;
-    // Nobody has been heard there: that says nothing against it while the others answer.
-    const bool unheard = r->lastReply == 0 && r->memory[idx(part.shard)].delay < 0;
-    if (hearing() && known() && unheard) return queued(parts(*r));
-    const double delay = expected(*r, part.shard, *q.cls, true);
-    return !hearing() && r->outs.empty() && num(now - r->lastReply) > delay ? 0 : delay;
-  }
-
-  // What those that wait for the shard's holders, all at their limits, have before them there.
+    guess += (partsAt(r) - joined - partsAtSend) *
+             (hearsPeers() ? kKnownQueuePerPart * typicalDelay() : own * unqueued());
+    guess += joined * partWork(unqueued()) / 2;
+    if (joined % settings.partsPerCall == 0) guess += kNewCallCost * num(settings.callOverhead);
+    guess = std::max(guess, unqueued());
+    if (!r.inFlight.empty() && r.lastReplyAt < *r.inFlight.begin())
+      guess = std::max(guess, num(now - *r.inFlight.begin()));
+    return guess * (r.zone == settings.zone ? 1 : 1 + kCrossZoneWeight * settings.crossZonePrice);
+  }
+
+  // Delay of a part as admission control expects it, ns. A replica with nothing in flight that has been idle
+  // for longer than its expected delay has had time to drain, so it counts as free and the query tests it.
+  // Otherwise admission control could refuse everything on evidence of its own that is never renewed.
+  double admissionDelay(const Part& part, const Query& q) {
+    const auto* r = pickReplica(part, *q.cls).server;
+    const Nanos unblocked = unblockedAt(part);
+    if (!r)
+      return unblocked < q.dueAt ? num(unblocked - now) + unqueued() + waitAtLimit(part, *q.cls) : kInfinity;
+    // That a server was never heard says nothing against it while the others answer: it counts as typical.
+    const bool unheard = r->lastReplyAt == 0 && r->shardRecords[idx(part.shard)].lastDelay < 0;
+    if (hearsPeers() && hasSamples() && unheard) return queuedDelay(partsAt(*r));
+    const double delay = expectedDelay(*r, part.shard, *q.cls, true);
+    return !hearsPeers() && r->inFlight.empty() && num(now - r->lastReplyAt) > delay ? 0 : delay;
+  }
+
+  // Wait for the holders of a shard that are at their limits, behind the parts that already wait for them,
+  // ns; 0: none is at its limit.
   double waitAtLimit(const Part& part, const QueryClass& cls) const {
-    double least = kInfinite;
+    double least = kInfinity;
     for (const auto* r : holders[idx(part.shard)])
       if (r->state == ServerState::up && r->atLimit())
-        least = std::min(least, expected(*r, part.shard, cls, true) *
-                                    (1 + waiting[idx(part.shard)] / std::max(1.0, r->window)));
-    return least < kInfinite ? least : 0;
+        least = std::min(least, expectedDelay(*r, part.shard, cls, true) *
+                                    (1 + waitingParts[idx(part.shard)] / std::max(1.0, r->window)));
+    return least < kInfinity ? least : 0;
   }
 
-  // The design's choice: the lowest expected delay among the eligible; set-aside ones when no other is left.
-  // Added: or when every eligible one looks kAsideRatio slower (one part out at a sound server says less than
-  // a sick server's record); benched servers come last.
-  Pick pick(const Part& part, const QueryClass& cls) {
-    std::array<Pick, 3> best;  // eligible, set aside, benched or already tried
+  // OPEN's choice: the lowest expected delay among the replicas without a pending part; those with one when
+  // no other is left. Added to that: also when every replica without a pending part looks slower by
+  // kPendingReplicaRatio, since one part in flight at a sound server says less than the record of a failing
+  // one. Ejected servers come last.
+  Candidate pickReplica(const Part& part, const QueryClass& cls) {
+    std::array<Candidate, 3> best;  // without pending part, with one, ejected or already tried
     for (auto* r : holders[idx(part.shard)]) {
       if (!mayReceive(*r, part)) continue;
-      const bool aside = r->memory[idx(part.shard)].pending > 0;
-      const bool out = benched(*r) && (mayCopy(cls) || !onTrial(*r));
-      auto& slot = best[part.at(*r, false) || out ? 2 : aside ? 1 : 0];
-      const double delay = expected(*r, part.shard, cls);
+      const bool pending = r->shardRecords[idx(part.shard)].pending > 0;
+      const bool ejected = isEjected(*r) && (mayHedge(cls) || !mayProbe(*r));
+      auto& slot = best[part.hasAttemptAt(*r, false) || ejected ? 2 : pending ? 1 : 0];
+      const double delay = expectedDelay(*r, part.shard, cls);
       const bool tie = delay == slot.delay && slot.server;
       if (!slot.server || delay < slot.delay || (tie && r->tieBreak < slot.server->tieBreak))
         slot = {r, delay};
     }
-    if (best[0].server && best[0].delay <= kAsideRatio * best[1].delay) return best[0];
+    if (best[0].server && best[0].delay <= kPendingReplicaRatio * best[1].delay) return best[0];
     if (best[1].server) return best[1];
     return best[0].server ? best[0] : best[2];
   }
 
-  Server* pickTwin(const Part& part, const Server& first) {
+  // Picks a random healthy replica other than the first.
+  Server* pickHedgeReplica(const Part& part, const Server& first) {
     std::vector<Server*> others;
     for (auto* r : holders[idx(part.shard)])
-      if (r != &first && !benched(*r) && mayReceive(*r, part)) others.push_back(r);
+      if (r != &first && !isEjected(*r) && mayReceive(*r, part)) others.push_back(r);
     return others.empty() ? nullptr : others[random() % others.size()];
   }
 
-  // ---- the two gates: every send passes both ----
+  // ---- limits: every send must pass both of these checks ----
 
+  // Whether the server may receive the part now.
   bool mayReceive(Server& r, const Part& part) {
-    // The drain's grace is not used: the news may be old already.
-    if (r.state != ServerState::up || now < r.closedUntil || part.at(r, true) || r.atLimit()) return false;
-    if (set.tipMultiple <= 0 || !cold(r)) return true;
-    // Cold: this aggregator's fair share of what tips it over, taken at the window's start and for a single
-    // core (neither cores nor the others' traffic are known). Where that is less than a part the window is
-    // stretched, from a moment of its own for each instance: however many they are, their sum stays under.
-    // Many that ask seldom, each at times of its own, may save up what they did not use: their sum is even.
-    const double windows = std::clamp(kSavedByRoot * std::sqrt(set.aggregators), 1.0, kSavedWindows);
-    // The fewer they are, the less it evens out what chance has left too low of one's estimate of work.
-    const double each = std::max(partWork(work()), kLeastWork / windows * partWork(fullLow));
-    const double share = kFairShare * set.tipMultiple * warmth(now - r.startedAt - set.tipWindow) *
-                         num(set.tipWindow) / set.aggregators;
-    const double window = num(set.tipWindow) * std::max(windows, each / share);
-    const double own = num(set.number % set.aggregators) / set.aggregators;
-    if (num(now - r.startedAt) < own * (window - num(set.tipWindow))) return false;
-    const auto recent =
-        std::count_if(r.sends.begin(), r.sends.end(), [&](Nanos at) { return num(now - at) < window; });
-    return num(recent + 1) * each <= std::max(windows * share, each);
-  }
-
+    // Settings::drainGrace is not used: the update that announces the drain may be late itself.
+    if (r.state != ServerState::up || now < r.blockedUntil || part.hasAttemptAt(r, true) || r.atLimit())
+      return false;
+    if (settings.tipMultiple <= 0 || !isCold(r)) return true;
+    // Slow start. A cold server gets at most this aggregator's fair share of the load that would overload it,
+    // computed for the warmth at the start of the window and for a single core, since neither the cores nor
+    // the traffic of others are known. Where the share is less than one part the window is stretched; each
+    // instance's window starts at a different time, so the sum stays below the limit however many there are.
+    // Among many instances each sends rarely and at random times, so that it may save up unused shares: their
+    // sum is even. The fewer instances there are, the fewer windows may be saved up.
+    const double windows =
+        std::clamp(kSavedWindowsPerRoot * std::sqrt(settings.aggregators), 1.0, kMaxSavedWindows);
+    // The fewer instances there are, the less their sum evens out an estimate of work that is too low by
+    // chance, so that the estimate's minimum is higher.
+    const double workPerPart = std::max(partWork(unqueued()), kMinWorkRatio / windows * partWork(fullSetP10));
+    const double share = kFairShareUsed * settings.tipMultiple *
+                         warmth(now - r.startedAt - settings.tipWindow) * num(settings.tipWindow) /
+                         settings.aggregators;
+    const double window = num(settings.tipWindow) * std::max(windows, workPerPart / share);
+    const double phase = num(settings.number % settings.aggregators) / settings.aggregators;
+    if (num(now - r.startedAt) < phase * (window - num(settings.tipWindow))) return false;
+    const auto recent = std::count_if(r.recentSends.begin(), r.recentSends.end(),
+                                      [&](Nanos at) { return num(now - at) < window; });
+    return num(recent + 1) * workPerPart <= std::max(windows * share, workPerPart);
+  }
+
+  // Whether the part may have an attempt, or another one, now.
   bool mayAttempt(const Query& q, const Part& part) {
-    if (part.delivered || part.step != q.step || now >= q.due) return false;
+    if (part.delivered || part.step != q.step || now >= q.dueAt) return false;
     if (part.attempts.empty()) return true;
-    if (num(part.attempts.size()) >= limitOf(set, *q.cls)) return false;
-    // Guards a fleet whose queues are full: repeats at all other holders, by all, would keep them so.
-    if (part.attempts.back().rejected && unseen() > 0 && repeatTokens < 1) return false;
-    if (part.isOut() && !(set.secondCopies && q.cls->copies)) return false;
+    if (num(part.attempts.size()) >= limitOf(settings, *q.cls)) return false;
+    // Protects a fleet whose queues are full: if all aggregators retried rejected parts at all other holders
+    // the queues would stay full.
+    if (part.attempts.back().rejected && unseenShare() > 0 && rejectedRetryTokens < 1) return false;
+    if (part.isInFlight() && !(settings.secondCopies && q.cls->copies)) return false;
     for (const auto& a : part.attempts) {
       if (!a.mayHaveRun) continue;
       if (q.cls->effect == Effect::unsafe) return false;
-      if (q.cls->effect == Effect::keyed && now + set.tick > a.sentAt + q.cls->keyedWindow) return false;
+      if (q.cls->effect == Effect::keyed && now + settings.tick > a.sentAt + q.cls->keyedWindow) return false;
     }
-    return budgetLeft(1);
+    return withinRetryBudget(1);
   }
 
-  // How much of what is sent this aggregator has to reckon with and does not see: nothing in a small fleet.
-  double unseen() const { return std::max(0.0, 1 - kFewAggregators / set.aggregators); }
+  // Share of the fleet's traffic that this aggregator must allow for but does not see: 0 in a small fleet.
+  double unseenShare() const { return std::max(0.0, 1 - kSmallFleetAggregators / settings.aggregators); }
 
-  bool budgetLeft(double share) {
-    if (!set.budget) return true;
-    while (!taken.empty() && taken.front() <= now - set.budget->window) taken.pop_front();
-    while (!extras.empty() && extras.front() < now - set.budget->window) extras.pop_front();
-    return num(extras.size() + 1) <= share * (set.budget->free + set.budget->perTaken * num(taken.size()));
+  // Whether another attempt fits into the given share of the retry budget.
+  bool withinRetryBudget(double share) {
+    if (!settings.budget) return true;
+    const AttemptBudget& budget = *settings.budget;
+    while (!acceptedAt.empty() && acceptedAt.front() <= now - budget.window) acceptedAt.pop_front();
+    while (!retriedAt.empty() && retriedAt.front() < now - budget.window) retriedAt.pop_front();
+    return num(retriedAt.size() + 1) <= share * (budget.free + budget.perTaken * num(acceptedAt.size()));
   }
 
+  // ---- sending ----
+
+  // Sends the part to the server if both checks allow it, and accounts for it. Returns whether it was sent.
   bool send(Query& q, Part& part, Server& r) {
     if (!mayReceive(r, part) || !mayAttempt(q, part)) return false;
     if (!part.attempts.empty()) {
-      extras.push_back(now);
-      if (part.attempts.back().rejected) repeatTokens = std::max(0.0, repeatTokens - 1);
+      retriedAt.push_back(now);
+      if (part.attempts.back().rejected) rejectedRetryTokens = std::max(0.0, rejectedRetryTokens - 1);
     } else {
       const double width = num(q.parts.size());
-      const auto earn = [&](double& tokens, double share) {  // a wide query's own may be spent at once
-        tokens = std::min(std::max({kTokenCap, tokens, share * width}), tokens + share);
+      const auto earn = [&](double& tokens, double share) {  // what a wide query earns may be spent at once
+        tokens = std::min(std::max({kMaxSavedTokens, tokens, share * width}), tokens + share);
       };
-      const double call = std::max(0.0, work() - num(set.callOverhead)) / work();
-      earn(twinTokens, kTwinShare * call * relief());
-      earn(copyTokens, kCopyShare * call * relief());
-      earn(resendTokens, kResendShare);
-      earn(trialTokens, kTrialShare);
-      earn(repeatTokens, kRepeatShare);
+      const double ownWorkShare = std::max(0.0, unqueued() - num(settings.callOverhead)) / unqueued();
+      earn(immediateHedgeTokens, kImmediateHedgeShare * ownWorkShare * hedgingShare());
+      earn(hedgeTokens, kHedgeShare * ownWorkShare * hedgingShare());
+      earn(timeoutRetryTokens, kTimeoutRetryShare);
+      earn(probeTokens, kProbeShare);
+      earn(rejectedRetryTokens, kRejectedRetryShare);
     }
-    if (r.bench > 0) trialTokens = std::max(0.0, trialTokens - 1);
+    if (r.ejectionTime > 0) probeTokens = std::max(0.0, probeTokens - 1);
     part.wanted = true;
-    const double there = parts(r);
-    part.attempts.push_back(Attempt{&r, now, there});
-    queue(r);
-    if (set.messages) justSent.push_back(&r);
-    if (r.callTurn != turn) r.callTurn = turn, r.callParts = 0;
+    const double partsAhead = partsAt(r);
+    part.attempts.push_back(Attempt{&r, now, partsAhead});
+    addToQueue(r);
+    if (settings.messages) sentThisTurn.push_back(&r);
+    if (r.callTurn != turn) {
+      r.callTurn = turn;
+      r.callParts = 0;
+    }
     ++r.callParts;
-    if (r.outs.empty()) r.waitsSince = now;
-    r.outs.insert(now), r.sends.push_back(now);
-    while (r.sends.front() <= now - std::max({set.tipWindow, set.coldFor, Nanos{1}})) r.sends.pop_front();
-    auto& m = r.memory[idx(part.shard)];
-    ++m.pending, m.pendingSince = now;
+    if (r.inFlight.empty()) r.waitingSince = now;
+    r.inFlight.insert(now);
+    r.recentSends.push_back(now);
+    while (r.recentSends.front() <= now - std::max({settings.tipWindow, settings.coldFor, Nanos{1}}))
+      r.recentSends.pop_front();
+    auto& record = r.shardRecords[idx(part.shard)];
+    ++record.pending;
+    record.pendingSince = now;
     actions.push_back(Send{part.id, r.id, 0});
     return true;
   }
 
-  bool sendBest(Query& q, Part& part) {
-    if (careful(q) && q.anyOut()) return false;
-    const auto best = pick(part, *q.cls);
+  // Sends the part to the best replica, which starts a new round of its shard. Returns whether it was sent.
+  bool sendToBest(Query& q, Part& part) {
+    if (isCautious(q) && q.anyInFlight()) return false;
+    const auto best = pickReplica(part, *q.cls);
     if (!best.server || !send(q, part, *best.server)) return false;
-    rounds[idx(part.shard)] = -1;
+    roundDelays[idx(part.shard)] = -1;
     return true;
   }
 
-  // Twins: the query's slowest-looking part gets one, since it decides when the query ends.
-  void sendTwin(Query& q) {
-    if (!mayCopy(*q.cls) || careful(q)) return;
-    sendTrials(q);
-    if (twinTokens < 1 || copyTokens < 1 || !budgetLeft(kCopyBudget)) return;
+  // Sends probes and hedges the part that is expected to take longest, since it decides when the query ends.
+  void sendImmediateHedge(Query& q) {
+    if (!mayHedge(*q.cls) || isCautious(q)) return;
+    sendProbes(q);
+    if (immediateHedgeTokens < 1 || hedgeTokens < 1 || !withinRetryBudget(kHedgeBudgetShare)) return;
     Part* slowest = nullptr;
-    double delay = -1;
+    double slowestDelay = -1;
     for (auto& part : q.parts) {
-      if (part.step != q.step || part.attempts.size() != 1 || !part.isOut()) continue;
-      const double d = expected(*part.attempts.front().server, part.shard, *q.cls);
-      if (d > delay) slowest = &part, delay = d;
+      if (part.step != q.step || part.attempts.size() != 1 || !part.isInFlight()) continue;
+      const double delay = expectedDelay(*part.attempts.front().server, part.shard, *q.cls);
+      if (delay > slowestDelay) {
+        slowest = &part;
+        slowestDelay = delay;
+      }
+    }
+    auto* other = slowest ? pickHedgeReplica(*slowest, *slowest->attempts.front().server) : nullptr;
+    if (other && send(q, *slowest, *other)) {
+      immediateHedgeTokens -= 1;
+      hedgeTokens -= 1;
     }
-    auto* other = slowest ? pickTwin(*slowest, *slowest->attempts.front().server) : nullptr;
-    if (other && send(q, *slowest, *other)) twinTokens -= 1, copyTokens -= 1;
   }
 
-  bool mayCopy(const QueryClass& cls) const {
-    return set.secondCopies && cls.copies && cls.effect == Effect::safe;
+  bool mayHedge(const QueryClass& cls) const {
+    return settings.secondCopies && cls.copies && cls.effect == Effect::safe;
   }
 
-  // Trials ride on parts that are out elsewhere. Guards queries against finding out, each anew, that a server
-  // is still sick: an aggregator that sends seldom would try it with every query, and all aggregators do.
-  void sendTrials(Query& q) {
+  // Probes ejected servers with hedged requests of parts that are in flight elsewhere, so that no query has
+  // to find out that a server still fails: an aggregator that sends rarely would try it anew with every
+  // query, and so would all aggregators.
+  void sendProbes(Query& q) {
     for (auto& part : q.parts) {
-      if (part.step != q.step || part.attempts.size() != 1 || !part.isOut()) continue;
+      if (part.step != q.step || part.attempts.size() != 1 || !part.isInFlight()) continue;
       for (auto* r : holders[idx(part.shard)])
-        if (onTrial(*r) && budgetLeft(kCopyBudget) && send(q, part, *r)) break;
+        if (mayProbe(*r) && withinRetryBudget(kHedgeBudgetShare) && send(q, part, *r)) break;
     }
   }
 
-  void cancel(Part& part, std::size_t at) {
+  // Gives up on an attempt, if it is still in flight, and learns from its age.
+  void cancelAttempt(Part& part, std::size_t at) {
     auto& a = part.attempts[at];
-    if (!a.out) return;
-    // An attempt given up on is a delay too: it is known to be longer than its age.
-    auto& m = a.server->memory[idx(part.shard)];
+    if (!a.inFlight) return;
+    // An abandoned attempt is an observation too: its delay would have been longer than its age.
+    auto& record = a.server->shardRecords[idx(part.shard)];
     const auto age = num(now - a.sentAt);
-    if (age > reckoned(a)) correct(a, age), learnLag(*a.server, age - reckoned(a) + lagNow(*a.server));
-    if (age > std::max(m.delay, median)) m.delay = age, m.at = now, m.ownThen = a.ownThen;
-    settle(part, a);
-    if (set.cancelling) actions.push_back(Cancel{part.id, static_cast<int>(at)});
+    if (age > predictedDelay(a)) {
+      correctQueue(a, age);
+      updateZoneLag(*a.server, age - predictedDelay(a) + zoneLag(*a.server));
+    }
+    if (age > std::max(record.lastDelay, medianDelay)) {
+      record.lastDelay = age;
+      record.heardAt = now;
+      record.partsAtSend = a.partsAtSend;
+    }
+    settleAttempt(part, a);
+    if (settings.cancelling) actions.push_back(Cancel{part.id, static_cast<int>(at)});
   }
 
   void cancelAll(Query& q) {
     for (auto& part : q.parts)
-      for (std::size_t i = 0; i < part.attempts.size(); ++i) cancel(part, i);
-  }
-
-  void settle(const Part& part, Attempt& a) {
-    a.out = false;
-    a.server->outs.erase(a.server->outs.find(a.sentAt));
-    const Nanos quiet = now - a.server->waitsSince;
-    // Longer than others take just now: it may be silent over several queries, none of which waits so long.
-    if (a.server->outs.empty() &&
-        num(quiet) > kLateMedian * std::max(median, samples.empty() ? 0 : samples.back()))
-      a.server->waited += quiet;
-    --a.server->memory[idx(part.shard)].pending;
-  }
-
-  // ---- outcomes and health ----
-
-  bool benched(const Server& r) const { return doubted(r) || r.bench > 0; }
-  // Its bench is over: single trials tell whether it is back.
-  bool onTrial(const Server& r) const {
-    return r.bench > 0 && now >= r.benchedUntil && r.outs.empty() && trialTokens >= 1 && !doubted(r);
-  }
-
-  bool putOnBench(Server& r, const char* why, bool longest = false) {
-    if (r.bench > 0 && now < r.benchedUntil) return false;
-    const double most = kBenchAimsMost * num(shortestAim);
-    r.bench = longest ? most : std::min(most, r.bench > 0 ? 2 * r.bench : kBenchAims * num(shortestAim));
-    r.benchedUntil = now + nanos(r.bench);
+      for (std::size_t i = 0; i < part.attempts.size(); ++i) cancelAttempt(part, i);
+  }
+
+  // Marks the attempt as no longer in flight.
+  void settleAttempt(const Part& part, Attempt& a) {
+    a.inFlight = false;
+    a.server->inFlight.erase(a.server->inFlight.find(a.sentAt));
+    const Nanos waited = now - a.server->waitingSince;
+    // A wait longer than answers take at present is remembered: the server may stay unresponsive over several
+    // queries of which none waits long enough to find out.
+    if (a.server->inFlight.empty() &&
+        num(waited) > kLateMedianRatio * std::max(medianDelay, samples.empty() ? 0 : samples.back()))
+      a.server->unansweredTime += waited;
+    --a.server->shardRecords[idx(part.shard)].pending;
+  }
+
+  // ---- outlier ejection and outcomes ----
+
+  bool isEjected(const Server& r) const { return isSuspected(r) || r.ejectionTime > 0; }
+  // Whether the ejection time is over, so that single probes may find out whether the server has recovered.
+  bool mayProbe(const Server& r) const {
+    return r.ejectionTime > 0 && now >= r.ejectedUntil && r.inFlight.empty() && probeTokens >= 1 &&
+           !isSuspected(r);
+  }
+
+  // Ejects the server, for twice as long as the last time. Returns false if it is ejected already.
+  bool eject(Server& r, const char* why, bool longest = false) {
+    if (r.ejectionTime > 0 && now < r.ejectedUntil) return false;
+    const double most = kMaxEjectionAims * num(shortestAim);
+    r.ejectionTime = longest ? most
+                             : std::min(most, r.ejectionTime > 0 ? 2 * r.ejectionTime
+                                                                 : kFirstEjectionAims * num(shortestAim));
+    r.ejectedUntil = now + nanos(r.ejectionTime);
     log("server " + std::to_string(r.id) + " set aside: " + why);
     return true;
   }
 
-  // It failed at once: for a while a further part would fail too, and where a call costs work it would keep a
-  // full server full. Guards against storms of quick failures, whatever their reason. Never for the whole of
-  // a long bench: it may be the last holder that is left, as in a release, and parts can wait for it.
-  void close(Server& r, const char* why) {
-    putOnBench(r, why);
-    r.closedUntil = std::min(r.benchedUntil, now + nanos(kCloseAims * num(shortestAim)));
-  }
-  // It is full: it gets fewer of the own parts than it held, and more again with each answer. Guards the last
-  // holder of a shard: closed for a time it runs idle, and all that has waited for it then comes at once and
-  // finds it full again. Parts sent before the last cut tell nothing new; where it held none the others' fill
-  // it.
-  void cutBack(Server& r, Nanos sentAt) {
-    putOnBench(r, "full");
-    if (r.outs.empty()) return close(r, "full");
-    if (r.cutAt >= 0 && sentAt <= r.cutAt) return;
-    r.window = kCutBack * (r.cutAt >= 0 ? std::min(r.window, r.out()) : r.out());
-    r.cutAt = now;
-  }
-  Nanos opensAt(const Part& part) const {
+  // Ejects and blocks a server that failed at once: a further part would fail too for a while and, where a
+  // call costs work, would keep an overloaded server overloaded. Prevents storms of immediate failures,
+  // whatever their cause. The block never lasts for the whole of a long ejection: the server may be the last
+  // holder left, as during a release, and parts can wait for it.
+  void block(Server& r, const char* why) {
+    eject(r, why);
+    r.blockedUntil = std::min(r.ejectedUntil, now + nanos(kMaxBlockAims * num(shortestAim)));
+  }
+  // Ejects an overloaded server and shrinks its concurrency window below the own parts that it held; the
+  // window grows again with each answer. Protects the last holder of a shard: if it were blocked it would
+  // run idle, and all parts waiting for it would then arrive at once and overload it again. Parts sent
+  // before the last cut carry no new information. A server that held no own part is blocked: the parts of
+  // others fill it.
+  void reduceWindow(Server& r, Nanos sentAt) {
+    eject(r, "full");
+    if (r.inFlight.empty()) {
+      block(r, "full");
+      return;
+    }
+    if (r.windowCutAt >= 0 && sentAt <= r.windowCutAt) return;
+    r.window =
+        kWindowDecrease * (r.windowCutAt >= 0 ? std::min(r.window, r.inFlightCount()) : r.inFlightCount());
+    r.windowCutAt = now;
+  }
+  // Returns when the first holder of the part's shard that is up may receive again; the maximum if none
+  // is up.
+  Nanos unblockedAt(const Part& part) const {
     Nanos first = std::numeric_limits<Nanos>::max();
     for (const auto* r : holders[idx(part.shard)])
-      if (r->state == ServerState::up) first = std::min(first, std::max(now, r->closedUntil));
+      if (r->state == ServerState::up) first = std::min(first, std::max(now, r->blockedUntil));
     return first;
   }
 
-  // Notes a failure; true when it is no chance any more. Guards against servers left out for one connection
-  // that broke: where nodes close and reset them now and then, the others would be swamped.
-  bool again(Server& r) {
-    if (r.failures == 0 || num(now - r.failedAt) > kTogether * work()) ++r.failures, r.failedAt = now;
-    return r.failures >= kNoChance;
+  // Counts a failure. Returns true when there are too many in a row to be chance. A server is not ejected for
+  // a single broken connection: where nodes close and reset connections now and then, the load of the ejected
+  // servers would overwhelm the others.
+  bool countFailure(Server& r) {
+    if (r.failures == 0 || num(now - r.lastFailureAt) > kSameFailureRatio * unqueued()) {
+      ++r.failures;
+      r.lastFailureAt = now;
+    }
+    return r.failures >= kMinFailures;
   }
 
-  void take(const AttemptEnded& e) {
-    const auto owner = queryOf.find(e.part);
-    if (owner == queryOf.end()) return;
+  void onEvent(const AttemptEnded& e) {
+    const auto owner = queryByRequest.find(e.part);
+    if (owner == queryByRequest.end()) return;
     auto& q = queries.at(owner->second);
-    const auto same = [&](const Part& p) { return p.id == e.part; };
-    const auto found = std::find_if(q.parts.begin(), q.parts.end(), same);
+    const auto sameId = [&](const Part& p) { return p.id == e.part; };
+    const auto found = std::find_if(q.parts.begin(), q.parts.end(), sameId);
     if (found == q.parts.end() || e.attempt < 0 || idx(e.attempt) >= found->attempts.size()) return;
     Part& part = *found;
     Attempt& a = part.attempts[idx(e.attempt)];
     Server& r = *a.server;
-    if (a.out) settle(part, a);
+    if (a.inFlight) settleAttempt(part, a);
     if (e.outcome == Outcome::delivered) {
       q.proven = true;
-      return delivered(part, a, num(std::max<Nanos>(e.delay, 0)));
+      onDelivered(part, a, num(std::max<Nanos>(e.delay, 0)));
+      return;
     }
-    const bool full = e.outcome == Outcome::rejected, none = e.outcome == Outcome::connectFailed;
+    const bool rejected = e.outcome == Outcome::rejected;
+    const bool connectFailed = e.outcome == Outcome::connectFailed;
     if (!mayHaveRun(e.outcome)) a.mayHaveRun = false;
-    if (full || e.outcome == Outcome::error) r.waitsSince = now, r.waited = 0;
+    if (rejected || e.outcome == Outcome::error) {  // a sign of life
+      r.waitingSince = now;
+      r.unansweredTime = 0;
+    }
     if (e.outcome == Outcome::notSent || e.outcome == Outcome::cancelled) return;
-    a.rejected = full;
-    queue(r, -1);
-    if (const auto at = std::find(lastSent.begin(), lastSent.end(), &r); at != lastSent.end())
-      lastSent.erase(at);
-    shun(part, r);  // fails fast: its delay must not make it look like the best
-    if (full) return cutBack(r, a.sentAt);
-    const bool mute = none && num(e.delay) > kTogether * work();  // its machine does not even refuse
-    const bool sure = again(r) || mute;
-    if (none && sure) putOnBench(r, "no connection", true);
-    if (e.outcome == Outcome::error && sure) close(r, "errors");
+    a.rejected = rejected;
+    addToQueue(r, -1);
+    if (const auto at = std::find(sentLastTurn.begin(), sentLastTurn.end(), &r); at != sentLastTurn.end())
+      sentLastTurn.erase(at);
+    penalize(part, r);  // a server that fails fast must not look like the quickest one
+    if (rejected) {
+      reduceWindow(r, a.sentAt);
+      return;
+    }
+    // A connection attempt that takes long to fail: the machine does not even refuse connections.
+    const bool unreachable = connectFailed && num(e.delay) > kSameFailureRatio * unqueued();
+    const bool confirmed = countFailure(r) || unreachable;
+    if (connectFailed && confirmed) eject(r, "no connection", true);
+    if (e.outcome == Outcome::error && confirmed) block(r, "errors");
     if (e.outcome != Outcome::reset) return;
-    if (num(e.delay) < kTooSoon * work()) return void(sure && putOnBench(r, "connection refused", true));
-    if (sure) close(r, "connection broke");
-    lastDeath = now;
-    if (std::find(q.lost.begin(), q.lost.end(), &r) == q.lost.end()) q.lost.push_back(&r);
+    if (num(e.delay) < kImmediateResetRatio * unqueued()) {
+      if (confirmed) eject(r, "connection refused", true);
+      return;
+    }
+    if (confirmed) block(r, "connection broke");
+    lastBreakageAt = now;
+    if (std::find(q.brokenServers.begin(), q.brokenServers.end(), &r) == q.brokenServers.end())
+      q.brokenServers.push_back(&r);
   }
 
-  void delivered(Part& part, Attempt& a, double delay) {
+  // Learns from an answer and cancels the part's other attempts.
+  void onDelivered(Part& part, Attempt& a, double delay) {
     Server& r = *a.server;
-    auto& m = r.memory[idx(part.shard)];
-    std::tie(m.delay, m.at, m.ownThen) = std::tuple(delay, now, a.ownThen);
-    correct(a, delay);
-    rounds[idx(part.shard)] = std::max(rounds[idx(part.shard)], delay);
-    if (median > 0) {
-      double usual = median + lagNow(r);
-      if (hearing()) {
-        usual = reckoned(a);
-        pace = std::clamp(pace * (delay > usual ? 1 + kPace : 1 - kPace), 0.5, kPaceMost);
+    auto& record = r.shardRecords[idx(part.shard)];
+    record.lastDelay = delay;
+    record.heardAt = now;
+    record.partsAtSend = a.partsAtSend;
+    correctQueue(a, delay);
+    roundDelays[idx(part.shard)] = std::max(roundDelays[idx(part.shard)], delay);
+    if (medianDelay > 0) {
+      double usual = medianDelay + zoneLag(r);
+      if (hearsPeers()) {
+        usual = predictedDelay(a);
+        pace = std::clamp(pace * (delay > usual ? 1 + kPaceStep : 1 - kPaceStep), kMinPace, kMaxPace);
       }
-      learnLag(r, delay - usual + lagNow(r));
-      r.slowness = {0.7 * faded(r.slowness, 1) + 0.3 * delay / usual, now};
-      if (hearing() && r.slowness.value > kSlow) silent.push_back(&r);
+      updateZoneLag(r, delay - usual + zoneLag(r));
+      r.slowness = {kSlownessKept * decayed(r.slowness, 1) + kSlownessAdded * delay / usual, now};
+      if (hearsPeers() && r.slowness.value > kSlowServerRatio) foundUnresponsive.push_back(&r);
+    }
+    r.lastReplyAt = now;
+    r.waitingSince = now;
+    r.unansweredTime = 0;
+    r.failures = 0;
+    if (r.windowCutAt >= 0)
+      r.window = std::max(1.0, r.window) + kWindowIncreaseParts / std::max(1.0, r.window);
+    r.newestAnsweredSendAt = std::max(r.newestAnsweredSendAt, a.sentAt);
+    // An answer as late as those that led to the ejection is no sign of recovery.
+    const bool quick = delay <= std::max(lateAfter(settings.classes.front()), kLateP90Ratio * p90Delay);
+    if (r.ejectionTime > 0 && now >= r.ejectedUntil && quick) {
+      r.ejectionTime = 0;
+      log("server " + std::to_string(r.id) + " is back");
     }
-    r.lastReply = r.waitsSince = now, r.waited = 0, r.failures = 0;
-    if (r.cutAt >= 0) r.window = std::max(1.0, r.window) + kOpenUp / std::max(1.0, r.window);
-    r.lastRepliedSent = std::max(r.lastRepliedSent, a.sentAt);
-    // An answer as late as those for which it was set aside does not speak for it.
-    const bool quick = delay <= std::max(lateAfter(set.classes.front()), kLateHigh * high);
-    if (r.bench > 0 && now >= r.benchedUntil && quick)
-      r.bench = 0, log("server " + std::to_string(r.id) + " is back");
-    sample(delay);
+    addSample(delay);
     part.delivered = true;
-    for (std::size_t i = 0; i < part.attempts.size(); ++i) cancel(part, i);
-  }
-
-  // ---- queries that kill ----
-
-  // A query is to blame for dead servers when each of its parts that came to anything broke its connection.
-  // Until a server has survived one, it tries one part at a time, without copies, if a server died under it,
-  // if it is a repeat while connections break, or if it is wide and there is time. Guards against whatever in
-  // a query brings servers down. Costs an innocent query the time of one part.
-  bool careful(const Query& q) const { return !q.proven && (q.wary || !q.lost.empty()); }
-
-  // Which part is tried is left to chance: tries of the same query must not take all replicas of one shard.
-  void mix(Query& q) {
-    if (careful(q) && !q.anyOut()) std::shuffle(q.parts.begin(), q.parts.end(), random);
-  }
-
-  // After a failure the shard's other replicas come first; it is no measured delay, so bounded.
-  void shun(const Part& part, Server& r) {
-    auto& m = r.memory[idx(part.shard)];
-    const double least = std::max(m.delay, 2 * std::max(shardMean(part.shard), median));
-    std::tie(m.delay, m.at, m.ownThen) = std::tuple(std::min(least, num(shortestAim)), now, parts(r));
-    const double usual = std::max({median, work(), 1.0});  // answers may have taken no time at all
-    r.slowness = {0.7 * faded(r.slowness, 1) + 0.3 * num(shortestAim) / usual, now};
-  }
-
-  // A server that has answered nothing for long is sick for all its shards: hung, silent, stalled or very
-  // slow. Not when most look so at once: then all are slow, and moving the work would only add to it.
-  void watchServers() {
-    const double limit = kSilentLates * std::max(lateAfter(set.classes.front()), num(leastLate));
-    int busy = 0;
-    std::vector<Server*> mute;
+    for (std::size_t i = 0; i < part.attempts.size(); ++i) cancelAttempt(part, i);
+  }
+
+  // ---- queries that break servers ----
+
+  // Whether the query is tried with one part at a time and without hedging. A query is to blame for broken
+  // servers when every part of it that had any effect broke its connection. Until a server has survived one
+  // of its parts, caution applies if a server broke under it, if it is a client retry while connections
+  // break, or if it is wide and there is time. Protects against queries that bring servers down for whatever
+  // reason, and costs a harmless query the time of one part.
+  bool isCautious(const Query& q) const { return !q.proven && (q.suspect || !q.brokenServers.empty()); }
+
+  // Chooses the part to be tried first at random: retries of the same query must not break all replicas of
+  // one shard.
+  void shuffleParts(Query& q) {
+    if (isCautious(q) && !q.anyInFlight()) std::shuffle(q.parts.begin(), q.parts.end(), random);
+  }
+
+  // Raises the recorded delay after a failure, so that the shard's other replicas come first. It is no
+  // measured delay and therefore bounded by the shortest aim.
+  void penalize(const Part& part, Server& r) {
+    auto& record = r.shardRecords[idx(part.shard)];
+    const double least = std::max(record.lastDelay, 2 * std::max(meanShardDelay(part.shard), medianDelay));
+    record.lastDelay = std::min(least, num(shortestAim));
+    record.heardAt = now;
+    record.partsAtSend = partsAt(r);
+    const double usual = std::max({medianDelay, unqueued(), 1.0});  // answers may have taken no time at all
+    r.slowness = {kSlownessKept * decayed(r.slowness, 1) + kSlownessAdded * num(shortestAim) / usual, now};
+  }
+
+  // Ejects servers that have answered nothing for long: a server that hangs, is cut off, stalls or is very
+  // slow fails for all its shards. Not when most servers look like that at once: then all are slow, and
+  // moving the load would only add to it.
+  void ejectUnresponsive() {
+    const double limit =
+        kUnresponsiveLateTimes * std::max(lateAfter(settings.classes.front()), num(leastLate));
+    int waitedFor = 0;  // servers that parts wait for
+    std::vector<Server*> unresponsive;
     for (auto& [id, r] : servers) {
-      if (gone(r)) continue;
-      const Nanos quiet = r.mute(now);
-      busy += quiet > 0;
-      if (num(quiet) > limit) mute.push_back(&r);
+      if (isGone(r)) continue;
+      const Nanos waited = r.unresponsiveFor(now);
+      waitedFor += waited > 0;
+      if (num(waited) > limit) unresponsive.push_back(&r);
+    }
+    if (2 * unresponsive.size() > idx(waitedFor) && waitedFor > 2) return;
+    for (auto* r : unresponsive) {
+      if (!eject(*r, "silent")) continue;
+      foundUnresponsive.push_back(r);
+      r->unansweredTime = 0;
     }
-    if (2 * mute.size() > idx(busy) && busy > 2) return;
-    for (auto* r : mute)
-      if (putOnBench(*r, "silent")) silent.push_back(r), r->waited = 0;
   }
 
-  // ---- the course of a query ----
+  // ---- course of a query ----
 
-  void take(const QueryArrived& e) {
-    if (e.queryClass < 0 || idx(e.queryClass) >= set.classes.size())
-      return actions.push_back(Refuse{e.id, 0});
-    if (queries.count(e.number) > 0 || !queryOf.try_emplace(e.id, e.number).second) return;
-    repeats += e.repeat;
-    Query q{.id = e.id, .arrived = now, .due = now + e.timeLeft, .repeat = e.repeat};
-    q.cls = &set.classes[idx(e.queryClass)];
-    q.aimAt = now + q.cls->aim - spent(e, *q.cls);
+  void onEvent(const QueryArrived& e) {
+    if (e.queryClass < 0 || idx(e.queryClass) >= settings.classes.size()) {
+      actions.push_back(Refuse{e.id, 0});
+      return;
+    }
+    if (queries.count(e.number) > 0 || !queryByRequest.try_emplace(e.id, e.number).second) return;
+    clientRetries += e.repeat;
+    Query q{.id = e.id, .arrivedAt = now, .dueAt = now + e.timeLeft, .isRetry = e.repeat};
+    q.cls = &settings.classes[idx(e.queryClass)];
+    q.aimAt = now + q.cls->aim - timeSpent(e, *q.cls);
     queries.try_emplace(e.number, std::move(q));
-    if (set.budget) taken.push_back(now);
+    if (settings.budget) acceptedAt.push_back(now);
   }
 
-  // What a client's earlier tries have used up of its time. A try is given the same time each, or what is
-  // left of the deadline; only the latter tells how much is gone. Where repeats are not marked, less time
-  // than usual tells one, unless it is so little that the client may just be in a hurry.
-  Nanos spent(const QueryArrived& e, const QueryClass& cls) {
-    auto& [usual, votes] = tryTime[idx(e.queryClass)];
+  // Estimates how much of its time a client has used up on earlier tries, ns. Each try is given the same time
+  // or what is left of the deadline; only the latter reveals how much is gone. Where retries are not marked,
+  // a try with less time than usual counts as a retry, unless its time is below kImpatientClientShare of the
+  // aim: then the client may just be impatient.
+  Nanos timeSpent(const QueryArrived& e, const QueryClass& cls) {
+    auto& [usual, votes] = firstTryTimes[idx(e.queryClass)];
     const bool same = std::abs(e.timeLeft - usual) <= usual / 100;
-    if (!e.repeat) votes = std::clamp(votes + (same ? 1 : -1), 0, kVotes);
+    if (!e.repeat) votes = std::clamp(votes + (same ? 1 : -1), 0, kMaxTryTimeVotes);
     if (!e.repeat && votes == 0) usual = e.timeLeft;
-    if (set.repeatsMarked ? !e.repeat : num(e.timeLeft) < kHurry * num(cls.aim)) return 0;
-    if (same || (!set.repeatsMarked && votes < kVotes / 2)) return 0;
+    if (settings.repeatsMarked ? !e.repeat : num(e.timeLeft) < kImpatientClientShare * num(cls.aim)) return 0;
+    if (same || (!settings.repeatsMarked && votes < kMaxTryTimeVotes / 2)) return 0;
     return std::clamp<Nanos>(cls.deadline - e.timeLeft, 0, cls.deadline);
   }
 
-  void take(const PartArrived& e) {
+  void onEvent(const PartArrived& e) {
     const auto at = queries.find(e.query);
-    const bool odd = at == queries.end() || e.shard < 0 || e.shard >= set.shards;
-    if (odd || !queryOf.try_emplace(e.id, e.query).second) return;
+    const bool invalid = at == queries.end() || e.shard < 0 || e.shard >= settings.shards;
+    if (invalid || !queryByRequest.try_emplace(e.id, e.query).second) return;
     at->second.parts.push_back(Part{e.id, e.shard, at->second.step, e.weight, false, false, {}});
     at->second.planned = false;
-    if (set.budget) taken.push_back(now);
+    if (settings.budget) acceptedAt.push_back(now);
   }
 
-  double need(const Query& q) const { return q.step == 1 ? std::min(q.target, q.cls->need) : 1.0; }
+  // Weight of delivered parts that completes the query's present step.
+  double neededWeight(const Query& q) const {
+    return q.step == 1 ? std::min(q.targetWeight, q.cls->need) : 1.0;
+  }
 
-  // Of the refusals, how many are followed by a further try: the others are no respite but a query lost.
-  double comeBack() const {
-    return std::min(1.0, (kComeBacks + num(repeats)) / (kComeBacks + num(refusals)));
+  // Estimated share of refusals that are followed by a client retry. The others relieve nobody: they are
+  // lost queries.
+  double clientRetryShare() const {
+    return std::min(1.0, (kClientRetryPrior + num(clientRetries)) / (kClientRetryPrior + num(refusals)));
   }
 
-  // First sends: as many parts as the need asks for, quickest-looking first; the rest are spares. Refused
-  // when the slowest is not expected within the aim: the work would be wasted.
-  bool plan(Query& q) {
+  // Admission control and first sends of the query's present step. Sends as many parts as the class
+  // needs, those with the lowest expected delay first; the rest are spares. Refuses the query when the
+  // slowest of them is not expected within the aim, since the work would be wasted. Returns false if the
+  // query was refused.
+  bool planQuery(Query& q) {
     q.planned = true;
     std::vector<std::pair<double, Part*>> order;
     for (auto& part : q.parts)
-      if (part.step == q.step) order.emplace_back(atDoor(part, q), &part);
+      if (part.step == q.step) order.emplace_back(admissionDelay(part, q), &part);
     std::stable_sort(order.begin(), order.end(),
                      [](const auto& x, const auto& y) { return x.first < y.first; });
-    const Nanos end = q.aimAt <= now && q.cls->lateWorth > 0 ? q.due : std::min(q.aimAt, q.due);
-    const double aim = num(end - now) - (q.step == 1 && q.cls->secondStepParts > 0 ? median : 0);
-    // Narrow also where most of the load is others': there it alone keeps a jam from feeding itself.
-    const double narrow = set.retryAfter ? std::max(comeBack(), unseen()) : 0;
-    const double share = kDoor + (kDoorAdvised - kDoor) * narrow, door = share * aim;
-    double weight = 0, slowest = 0;
+    const Nanos end = q.aimAt <= now && q.cls->lateWorth > 0 ? q.dueAt : std::min(q.aimAt, q.dueAt);
+    const double aim = num(end - now) - (q.step == 1 && q.cls->secondStepParts > 0 ? medianDelay : 0);
+    // The limit is also strict where most of the load comes from others: there nothing else keeps an overload
+    // from sustaining itself.
+    const double strictness = settings.retryAfter ? std::max(clientRetryShare(), unseenShare()) : 0;
+    const double share = kAdmissionAims + (kAdmissionAimsWithRetry - kAdmissionAims) * strictness;
+    const double limit = share * aim;
+    double weight = 0;
+    double slowest = 0;
     for (auto& [delay, part] : order) {
-      // The answer goes out without what feeds a jam: crowded servers are left to those who need every part.
-      const bool spared = q.step == 1 && q.cls->floor < q.cls->need && weight >= q.cls->floor;
-      const auto* r = spared ? pick(*part, *q.cls).server : nullptr;
-      const bool crowded = r ? hearing() && num(r->busyUntil - now) > share * num(shortestAim)
+      // A partial answer omits the parts that would feed an overload: crowded servers are left to queries
+      // that need every part.
+      const bool optional = q.step == 1 && q.cls->floor < q.cls->need && weight >= q.cls->floor;
+      const auto* r = optional ? pickReplica(*part, *q.cls).server : nullptr;
+      const bool crowded = r ? hearsPeers() && num(r->busyUntil - now) > share * num(shortestAim)
                              : waitAtLimit(*part, *q.cls) > 0;
-      if (spared && (bias * delay > door || crowded)) q.target = weight;
-      if (weight >= need(q) - kWeightSlack) break;
-      weight += part->weight, slowest = delay, part->wanted = true;
+      if (optional && (admissionBias * delay > limit || crowded)) q.targetWeight = weight;
+      if (weight >= neededWeight(q) - kWeightTolerance) break;
+      weight += part->weight;
+      slowest = delay;
+      part->wanted = true;
     }
     if (q.step == 1) {
-      const bool wide = q.parts.size() > 1 && kWide * num(servers.size()) < num(q.parts.size());
-      const bool deaths = lastDeath >= 0 && now - lastDeath < kDeathDeadlines * longestDeadline;
-      const bool room = relief() > 0 && 2 * (median + 2 * high) < num(q.cls->aim);
-      q.wary = (deaths && q.repeat) || ((deaths || wide) && known() && room);
-      q.held = q.wary;
+      const bool wide = q.parts.size() > 1 && kWideQueryShare * num(servers.size()) < num(q.parts.size());
+      const bool breakages =
+          lastBreakageAt >= 0 && now - lastBreakageAt < kBreakageMemoryDeadlines * longestDeadline;
+      const bool hasTime = hedgingShare() > 0 && 2 * (medianDelay + 2 * p90Delay) < num(q.cls->aim);
+      q.suspect = (breakages && q.isRetry) || ((breakages || wide) && hasSamples() && hasTime);
+      q.held = q.suspect;
     }
-    // Own word that is older than the aim shuts no door: with all refused there is none to correct it.
-    const bool stale = hearing() && num(now - unqueuedAt) > num(shortestAim);
-    if (q.step == 1 && bias * slowest > door && ((known() && !stale) || slowest == kInfinite))
-      return !refuse(q, nanos(slowest < kInfinite ? slowest / 2 : work()));
-    // One of many hears too seldom that a fleet is jammed: to it each query is a trial, and all try. Guards
-    // against jams that feed themselves; each refuses a share by what its latest queries have met.
-    const double shed = kShed * unseen() * faded(jam, 0);
-    if (q.step == 1 && shed > 0 && unit() < shed)
-      return !refuse(q, nanos((0.5 + unit()) * kCloseAims * num(shortestAim)));
-    q.hoped = slowest;
-    mix(q);
-    sendAll(q);
+    // Own samples older than the aim refuse nothing: with every query refused there would be no new ones.
+    const bool stale = hearsPeers() && num(now - lastSampleAt) > num(shortestAim);
+    if (q.step == 1 && admissionBias * slowest > limit && ((hasSamples() && !stale) || slowest == kInfinity))
+      return !refuse(q, nanos(slowest < kInfinity ? slowest / 2 : unqueued()));
+    // One aggregator of many gets too few answers to notice that the fleet is overloaded: it would admit each
+    // query as a test, as would all others. To keep such an overload from sustaining itself each aggregator
+    // sheds a share of its queries that follows how late its latest ones were.
+    const double shed = kMaxShedShare * unseenShare() * decayed(overload, 0);
+    if (q.step == 1 && shed > 0 && uniform01() < shed)
+      return !refuse(q, nanos((0.5 + uniform01()) * kMaxBlockAims * num(shortestAim)));
+    q.expectedDelay = slowest;
+    shuffleParts(q);
+    sendPlanned(q);
     return true;
   }
 
-  void sendAll(Query& q) {
+  // Sends all wanted parts of the present step that have not been sent yet.
+  void sendPlanned(Query& q) {
     for (auto& part : q.parts)
-      if (part.wanted && part.step == q.step && part.attempts.empty()) sendBest(q, part);
-    sendTwin(q);
+      if (part.wanted && part.step == q.step && part.attempts.empty()) sendToBest(q, part);
+    sendImmediateHedge(q);
   }
 
-  // Looks after the parts of a query: what could not be sent, what failed, what is late.
-  void tend(Query& q) {
+  // Advances the parts of a query: those that could not be sent, that failed or that are late.
+  void advanceParts(Query& q) {
     const double late = lateAfter(*q.cls);
-    mix(q);
-    if (q.held && !careful(q)) q.held = false, sendAll(q);
+    shuffleParts(q);
+    if (q.held && !isCautious(q)) {
+      q.held = false;
+      sendPlanned(q);
+    }
     for (auto& part : q.parts) {
       if (!part.wanted || part.delivered || part.step != q.step) continue;
-      if (!part.isOut()) {
-        if (sendBest(q, part)) continue;
-        waiting[idx(part.shard)] += 1;
-        if (!careful(q)) sendSpare(q);
+      if (!part.isInFlight()) {
+        if (sendToBest(q, part)) continue;
+        waitingParts[idx(part.shard)] += 1;
+        if (!isCautious(q)) sendSpare(q);
         continue;
       }
-      if (careful(q)) {  // a server that neither answers nor dies in time proves nothing: go on without
-        if (q.lost.empty() && num(now - part.attempts.back().sentAt) > median) q.wary = false;
+      if (isCautious(q)) {
+        // A server that neither answers nor breaks in time proves nothing: the query goes on without caution.
+        if (q.brokenServers.empty() && num(now - part.attempts.back().sentAt) > medianDelay)
+          q.suspect = false;
         continue;
       }
-      // Given up on early: its server is found silent, or has since answered a part sent well after this one.
-      // For servers that hang, vanish or drop single parts; a jam makes few: queued parts are not overtaken.
-      for (std::size_t i = 0; i < part.attempts.size() && resendTokens >= 1; ++i) {
-        const Attempt& a = part.attempts[i];
-        const bool overtaken = num(a.server->lastRepliedSent - a.sentAt) > median;
-        if (!a.out || num(now - a.sentAt) <= late) continue;
-        if (!overtaken && now >= a.server->benchedUntil) continue;
-        const auto other = pick(part, *q.cls);
-        if (!other.server || benched(*other.server) || !send(q, part, *other.server)) continue;
-        cancel(part, i), resendTokens -= 1;
-      }
+      retryTimedOutAttempts(q, part, late);
       if (num(now - part.attempts.back().sentAt) < late || sendSpare(q)) continue;
-      if (part.outs() > 1 || copyTokens < 1 || !budgetLeft(kCopyBudget)) continue;
-      const auto other = pick(part, *q.cls);
-      if (!other.server || benched(*other.server) || now + nanos(other.delay) > q.due) continue;
-      if (send(q, part, *other.server)) copyTokens -= 1;
+      if (part.inFlightCount() > 1 || hedgeTokens < 1 || !withinRetryBudget(kHedgeBudgetShare)) continue;
+      const auto other = pickReplica(part, *q.cls);
+      if (!other.server || isEjected(*other.server) || now + nanos(other.delay) > q.dueAt) continue;
+      if (send(q, part, *other.server)) hedgeTokens -= 1;
     }
   }
 
-  // A spare's first send is no further attempt; it stands in for one part that is late, so one at a time.
+  // Gives up early on late attempts and retries them elsewhere, if their server is ejected or has since
+  // answered a part that was sent well after this one. For servers that hang, vanish or drop single parts. An
+  // overload causes few of these retries, since queued parts are not overtaken.
+  void retryTimedOutAttempts(Query& q, Part& part, double late) {
+    for (std::size_t i = 0; i < part.attempts.size() && timeoutRetryTokens >= 1; ++i) {
+      const Attempt& a = part.attempts[i];
+      const bool overtaken = num(a.server->newestAnsweredSendAt - a.sentAt) > medianDelay;
+      if (!a.inFlight || num(now - a.sentAt) <= late) continue;
+      if (!overtaken && now >= a.server->ejectedUntil) continue;
+      const auto other = pickReplica(part, *q.cls);
+      if (!other.server || isEjected(*other.server) || !send(q, part, *other.server)) continue;
+      cancelAttempt(part, i);
+      timeoutRetryTokens -= 1;
+    }
+  }
+
+  // Sends a spare in place of a late part, unless the parts on time suffice; one at a time. The first send of
+  // a spare is not a further attempt and uses no retry budget. Returns whether the query has what it needs.
   bool sendSpare(Query& q) {
-    double hoped = 0;
+    double onTime = 0;
     for (const auto& part : q.parts)
-      if (part.step == q.step && part.wanted && !part.delivered && part.isOut() &&
+      if (part.step == q.step && part.wanted && !part.delivered && part.isInFlight() &&
           num(now - part.attempts.back().sentAt) < lateAfter(*q.cls))
-        hoped += part.weight;
-    if (q.got(q.step) + hoped >= need(q) - kWeightSlack) return true;
+        onTime += part.weight;
+    if (q.deliveredWeight(q.step) + onTime >= neededWeight(q) - kWeightTolerance) return true;
     for (auto& part : q.parts)
-      if (part.step == q.step && !part.wanted && sendBest(q, part)) return true;
+      if (part.step == q.step && !part.wanted && sendToBest(q, part)) return true;
     return false;
   }
 
-  // Ends the query when it is answered or can't be any more. Returns true when it has ended.
-  bool conclude(Query& q) {
-    const double got = q.got(q.step);
+  // Ends the query when it is answered or can no longer be. Returns true when it has ended.
+  bool tryConclude(Query& q) {
+    const double delivered = q.deliveredWeight(q.step);
     const auto missing = [&](const Part& p) { return p.step == q.step && !p.delivered; };
-    const bool all = got >= need(q) - kWeightSlack &&
-                     (q.step == 1 || std::none_of(q.parts.begin(), q.parts.end(), missing));
-    if (q.planned && all && got >= q.cls->floor - kWeightSlack)
-      return answer(q, q.step == 1 ? got >= q.cls->need - kWeightSlack : q.firstWhole);
-    const double floor = q.step == 2 || q.cls->floor < q.cls->need ? q.cls->floor : kInfinite;
-    const bool may = got > 0 && got >= floor - kWeightSlack;
-    // At the aim, while an answer still gets there, what is in goes out if the whole is worth less later.
-    const double inHand = may ? q.cls->partialWorth * got / std::max(q.cls->need, kWeightSlack) : 0;
-    const bool worthless = now + kLastTicks * set.tick >= q.aimAt && inHand >= q.cls->lateWorth;
-    if (!q.proven && !q.anyOut() && q.lost.size() >= (q.wary && q.repeat ? 1 : kNoChance)) {
-      log("query blamed for " + std::to_string(q.lost.size()) + " broken servers");
-      return refuse(q, set.maxRetryAfter);
+    const bool complete = delivered >= neededWeight(q) - kWeightTolerance &&
+                          (q.step == 1 || std::none_of(q.parts.begin(), q.parts.end(), missing));
+    if (q.planned && complete && delivered >= q.cls->floor - kWeightTolerance)
+      return answer(q, q.step == 1 ? delivered >= q.cls->need - kWeightTolerance : q.firstStepWhole);
+    const double floor = q.step == 2 || q.cls->floor < q.cls->need ? q.cls->floor : kInfinity;
+    const bool mayAnswer = delivered > 0 && delivered >= floor - kWeightTolerance;
+    // Just before the aim, while an answer still arrives in time, a partial answer is given if a complete one
+    // is worth no more after the aim.
+    const double partialWorth =
+        mayAnswer ? q.cls->partialWorth * delivered / std::max(q.cls->need, kWeightTolerance) : 0;
+    const bool worthless =
+        now + kAnswerLeadTicks * settings.tick >= q.aimAt && partialWorth >= q.cls->lateWorth;
+    if (!q.proven && !q.anyInFlight() &&
+        q.brokenServers.size() >= (q.suspect && q.isRetry ? 1 : kMinFailures)) {
+      log("query blamed for " + std::to_string(q.brokenServers.size()) + " broken servers");
+      return refuse(q, settings.maxRetryAfter);
     }
-    if (now < q.due - 2 * set.tick && !worthless && possible(q)) return false;
-    if (may) return answer(q, false);
-    if (q.planned) learnBias(q);
-    if (q.tried()) learnJam(1);
-    // Where it is this aggregator that can't go on another may: its client is told to come back at once.
-    return refuse(q, worthless ? set.maxRetryAfter : nanos(work()));
-  }
-
-  bool possible(const Query& q) {
-    double sum = q.got(q.step);
-    const Nanos end = q.cls->lateWorth > 0 ? q.due : std::min(q.due, q.aimAt);
+    if (now < q.dueAt - 2 * settings.tick && !worthless && canComplete(q)) return false;
+    if (mayAnswer) return answer(q, false);
+    if (q.planned) updateAdmissionBias(q);
+    if (q.hasAttempts()) updateOverload(1);
+    // Where only this aggregator cannot go on another one may: its client is advised to retry soon.
+    return refuse(q, worthless ? settings.maxRetryAfter : nanos(unqueued()));
+  }
+
+  // Whether the parts that are delivered, in flight or can still be sent suffice for an answer.
+  bool canComplete(const Query& q) {
+    double sum = q.deliveredWeight(q.step);
+    const Nanos end = q.cls->lateWorth > 0 ? q.dueAt : std::min(q.dueAt, q.aimAt);
     for (const auto& part : q.parts)
       if (part.step == q.step && !part.delivered &&
-          (part.isOut() || (mayAttempt(q, part) && opensAt(part) < end)))
+          (part.isInFlight() || (mayAttempt(q, part) && unblockedAt(part) < end)))
         sum += part.weight;
-    return sum >= std::min(need(q), q.cls->floor) - kWeightSlack;
+    return sum >= std::min(neededWeight(q), q.cls->floor) - kWeightTolerance;
   }
 
-  // How far the door can be believed, learned from what it let in: the more, the nearer to its edge.
-  void learnBias(const Query& q) {
-    const double edge = std::min(1.0, q.hoped / num(q.cls->aim));
-    if (q.step != 1 || q.wary || !q.lost.empty() || edge < kEdge || q.hoped >= kInfinite) return;
-    const bool above = num(now - q.arrived) > bias * q.hoped;
-    bias = std::clamp(bias + kBiasStep * edge * (above ? kInTime : kInTime - 1), 0.25, 1.25);
+  // Learns from an admitted query how far the expected delays of admission control can be trusted. The closer
+  // the query was to the limit, the larger the step.
+  void updateAdmissionBias(const Query& q) {
+    const double evidence = std::min(1.0, q.expectedDelay / num(q.cls->aim));
+    if (q.step != 1 || q.suspect || !q.brokenServers.empty() || evidence < kMinBiasEvidenceShare ||
+        q.expectedDelay >= kInfinity)
+      return;
+    const bool above = num(now - q.arrivedAt) > admissionBias * q.expectedDelay;
+    admissionBias =
+        std::clamp(admissionBias + kBiasStep * evidence * (above ? kBiasQuantile : kBiasQuantile - 1),
+                   kMinBias, kMaxBias);
   }
 
-  void learnJam(double late) { jam = {faded(jam, 0) + kJamStep * (late - faded(jam, 0)), now}; }
+  // Moves the overload estimate towards the latest query: 0 well in time, 1 past its aim.
+  void updateOverload(double late) {
+    overload = {decayed(overload, 0) + kOverloadStep * (late - decayed(overload, 0)), now};
+  }
 
+  // Answers the present step. Returns true when that ends the query.
   bool answer(Query& q, bool whole) {
-    learnBias(q);
-    learnJam(
-        std::clamp((num(now - q.arrived) / num(q.cls->aim) - kDoorAdvised) / (1 - kDoorAdvised), 0.0, 1.0));
+    updateAdmissionBias(q);
+    updateOverload(std::clamp(
+        (num(now - q.arrivedAt) / num(q.cls->aim) - kAdmissionAimsWithRetry) / (1 - kAdmissionAimsWithRetry),
+        0.0, 1.0));
     actions.push_back(Answer{q.id, whole});
     cancelAll(q);
-    if (q.step == 1 && q.cls->secondStepParts > 0) {  // its parts come in the next turn
-      q.step = 2, q.firstWhole = whole, q.planned = true;
+    if (q.step == 1 && q.cls->secondStepParts > 0) {  // the second step's parts arrive in the next turn
+      q.step = 2;
+      q.firstStepWhole = whole;
+      q.planned = true;
       return false;
     }
-    forget(q);
+    forgetRequestIds(q);
     return true;
   }
 
-  // The final no. A refusal promises that a retry is safe, which a part that may have run does not allow.
+  // Ends the query without an answer; always returns true. A refusal promises that a retry is safe. Where a
+  // part of a non-idempotent query may have run it fails instead.
   bool refuse(Query& q, Nanos retryAfter) {
     const auto ran = [](const Attempt& a) { return a.mayHaveRun; };
-    const bool harmless =
+    const bool retryIsSafe =
         q.cls->effect == Effect::safe || std::none_of(q.parts.begin(), q.parts.end(), [&](const Part& p) {
           return std::any_of(p.attempts.begin(), p.attempts.end(), ran);
         });
-    const Nanos advice = set.retryAfter ? std::min(retryAfter, set.maxRetryAfter) : 0;
-    refusals += harmless;
-    harmless ? actions.push_back(Refuse{q.id, advice}) : actions.push_back(Fail{q.id});
+    const Nanos advice = settings.retryAfter ? std::min(retryAfter, settings.maxRetryAfter) : 0;
+    refusals += retryIsSafe;
+    if (retryIsSafe) {
+      actions.push_back(Refuse{q.id, advice});
+    } else {
+      actions.push_back(Fail{q.id});
+    }
     cancelAll(q);
-    forget(q);
+    forgetRequestIds(q);
     return true;
   }
 
-  void forget(const Query& q) {
-    for (const auto& part : q.parts) queryOf.erase(part.id);
-    queryOf.erase(q.id);
+  void forgetRequestIds(const Query& q) {
+    for (const auto& part : q.parts) queryByRequest.erase(part.id);
+    queryByRequest.erase(q.id);
   }
 
-  void take(const QueryExpired& e) {
-    const auto owner = queryOf.find(e.query);
-    const auto at = owner == queryOf.end() ? queries.end() : queries.find(owner->second);
+  void onEvent(const QueryExpired& e) {
+    const auto owner = queryByRequest.find(e.query);
+    const auto at = owner == queryByRequest.end() ? queries.end() : queries.find(owner->second);
     if (at == queries.end() || at->second.id != e.query) return;
     cancelAll(at->second);
-    forget(at->second);
+    forgetRequestIds(at->second);
     queries.erase(at);
   }
 
-  void take(const TimerFired&) {}
-  void take(const FleetChanged& e) {
-    set.aggregators = std::max(1, e.aggregators), set.number = std::max(0, e.number);
+  void onEvent(const TimerFired&) {}  // the turn itself does the work
+  void onEvent(const FleetChanged& e) {
+    settings.aggregators = std::max(1, e.aggregators);
+    settings.number = std::max(0, e.number);
   }
-  void take(const SentElsewhere& e) {
-    if (const auto at = servers.find(e.server); at != servers.end()) at->second.sends.push_back(e.at);
+  void onEvent(const SentElsewhere& e) {
+    if (const auto at = servers.find(e.server); at != servers.end()) at->second.recentSends.push_back(e.at);
   }
 
-  void run() {
-    watchServers();
-    std::fill(waiting.begin(), waiting.end(), 0);
+  // Advances everything after the events of a turn: servers, queries, server list, peers, timer.
+  void runTurn() {
+    ejectUnresponsive();
+    std::fill(waitingParts.begin(), waitingParts.end(), 0);
     for (auto at = queries.begin(); at != queries.end();) {
       Query& q = at->second;
-      bool ended = conclude(q);
-      if (!ended && !q.planned) ended = !plan(q);
-      if (!ended) tend(q);
+      bool ended = tryConclude(q);
+      if (!ended && !q.planned) ended = !planQuery(q);
+      if (!ended) advanceParts(q);
       at = ended ? queries.erase(at) : std::next(at);
     }
-    if (askAt >= 0 && now >= askAt) actions.push_back(Subscribe{true}), askAt = -1;
-    tellPeers();
+    if (listRequestAt >= 0 && now >= listRequestAt) {
+      actions.push_back(Subscribe{true});
+      listRequestAt = -1;
+    }
+    announceToPeers();
+    scheduleTimer();
+  }
+
+  // Requests the next turn, unless an earlier timer is still running or there is nothing to wait for.
+  void scheduleTimer() {
     const bool busy = !queries.empty();
-    Nanos wait = std::max<Nanos>(1, busy ? std::max<Nanos>(2 * set.tick, shortestAim / 100) : askAt - now);
-    for (const auto& [number, q] : queries)  // the last moments to answer must not fall between two steps
-      for (const Nanos at : {q.aimAt - kLastTicks * set.tick, q.due - 2 * set.tick})
+    Nanos wait = std::max<Nanos>(
+        1, busy ? std::max<Nanos>(2 * settings.tick, shortestAim / 100) : listRequestAt - now);
+    for (const auto& [number, q] : queries)  // the last chances to answer must not fall between two turns
+      for (const Nanos at : {q.aimAt - kAnswerLeadTicks * settings.tick, q.dueAt - 2 * settings.tick})
         if (at > now) wait = std::min(wait, at - now);
-    if ((!busy && askAt < 0) || (timerAt > now && timerAt <= now + wait)) return;
+    if ((!busy && listRequestAt < 0) || (timerAt > now && timerAt <= now + wait)) return;
     actions.push_back(SetTimer{turn, wait});
     timerAt = now + wait;
   }
@@ -1087,11 +1467,11 @@
 
 std::vector<Action> Aggregator::handle(Nanos now, const std::vector<Event>& events) {
   Impl& i = *impl_;
-  if (i.fault) return {};
+  if (i.settingsFault) return {};
   i.now = std::max(now, i.now);
   ++i.turn;
-  for (const auto& event : events) std::visit([&](const auto& e) { i.take(e); }, event);
-  i.run();
+  for (const auto& event : events) std::visit([&](const auto& e) { i.onEvent(e); }, event);
+  i.runTurn();
   return std::move(i.actions);
 }
 
