--- a/src/membership/detector.cpp
+++ b/src/membership/detector.cpp
@@ -1,3 +1,4 @@
+// Probing, suspicion and gossip of the failure detector.
 #include "membership/detector.hpp"
 
 #include <algorithm>
@@ -7,8 +8,8 @@
 namespace topazweir::membership {
 
 namespace {
-constexpr std::size_t kToldAtLeaving = 32;  // they tell the others
-constexpr std::size_t kMostAsked = 256;     // probes on behalf of others at once
+constexpr std::size_t kLeaveNotifications = 32;  // members notified directly; gossip reaches the others
+constexpr std::size_t kMaxRelayedProbes = 256;   // outstanding probes on behalf of other members
 double log10Of(std::size_t members) { return std::max(1.0, std::log10(static_cast<double>(members))); }
 Nanos times(Nanos time, double factor) { return static_cast<Nanos>(static_cast<double>(time) * factor); }
 }  // namespace
@@ -18,121 +19,130 @@
   members_[self_].record = std::move(self);
 }
 
-void Detector::healthBy(int step) { health_ = std::clamp(health_ + step, 0, settings_.worstHealth); }
+void Detector::adjustHealth(int delta) { health_ = std::clamp(health_ + delta, 0, settings_.worstHealth); }
 
-// From the longest down to the shortest with each independent confirmation (Lifeguard, section IV).
+// Falls from the longest to the shortest time with each independent confirmation (Lifeguard, section IV).
 Nanos Detector::suspicionTime(const Suspicion& suspicion) const {
-  const double least = settings_.suspicion * log10Of(alive_) * static_cast<double>(settings_.period);
-  if (!settings_.lifeguard) return static_cast<Nanos>(least);
-  const double most = settings_.longest * least, heard = static_cast<double>(suspicion.by.size() - 1);
-  const double part = std::log(heard + 1) / std::log(static_cast<double>(settings_.confirmations) + 1);
-  return static_cast<Nanos>(std::max(least, most - (most - least) * part));
+  const double shortest = settings_.suspicionFactor * log10Of(alive_) * static_cast<double>(settings_.period);
+  if (!settings_.lifeguard) return static_cast<Nanos>(shortest);
+  const double longest = settings_.maxSuspicionFactor * shortest;
+  const double confirmed = static_cast<double>(suspicion.by.size() - 1);
+  const double part = std::log(confirmed + 1) / std::log(static_cast<double>(settings_.confirmations) + 1);
+  return static_cast<Nanos>(std::max(shortest, longest - (longest - shortest) * part));
 }
 
-void Detector::send(Step& step, const std::string& to, Message message, std::size_t room) {
+void Detector::send(Step& step, const std::string& to, Message message, std::size_t updateBytes) {
   message.sender = self_;
   message.from = self().address;
   message.load = members_.at(self_).load;
   if (byStream(message.kind)) {
     for (const auto& [name, member] : members_) message.news.push_back(member.record);
   } else {
-    addNews(message, room);
+    addUpdates(message, updateBytes);
   }
   step.out.push_back({to, std::move(message)});
 }
 
-// The least told goes first, of these the latest: after a thousand have joined a failure must not wait behind
-// them. What does not fit goes with a later message.
-void Detector::addNews(Message& message, std::size_t room) {
-  if (news_.empty()) return;
-  std::vector<News*> due;
-  for (auto& [name, news] : news_) due.push_back(&news);
-  const auto looked = static_cast<std::ptrdiff_t>(std::min(due.size(), 2 * settings_.newsPerMessage));
-  std::partial_sort(due.begin(), due.begin() + looked, due.end(), [](const News* a, const News* b) {
-    return a->told != b->told ? a->told < b->told : a->at > b->at;
-  });
-  due.resize(static_cast<std::size_t>(looked));
-  for (auto* news : due) {
-    if (message.news.size() >= settings_.newsPerMessage) break;
-    const auto bytes = weight(news->record);
-    if (bytes > room) continue;
-    room -= bytes, ++news->told;
-    message.news.push_back(news->record);
+// Updates with the fewest sends go first, the newest among equals: after a thousand joins a failure must not
+// wait behind them. What does not fit goes with a later message.
+void Detector::addUpdates(Message& message, std::size_t updateBytes) {
+  if (updates_.empty()) return;
+  std::vector<QueuedUpdate*> candidates;
+  for (auto& [name, update] : updates_) candidates.push_back(&update);
+  const auto considered =
+      static_cast<std::ptrdiff_t>(std::min(candidates.size(), 2 * settings_.updatesPerMessage));
+  std::partial_sort(candidates.begin(), candidates.begin() + considered, candidates.end(),
+                    [](const QueuedUpdate* a, const QueuedUpdate* b) {
+                      return a->sends != b->sends ? a->sends < b->sends : a->queuedAt > b->queuedAt;
+                    });
+  candidates.resize(static_cast<std::size_t>(considered));
+  for (auto* update : candidates) {
+    if (message.news.size() >= settings_.updatesPerMessage) break;
+    const auto bytes = weight(update->record);
+    if (bytes > updateBytes) continue;
+    updateBytes -= bytes;
+    ++update->sends;
+    message.news.push_back(update->record);
   }
-  const double most = settings_.repeats * std::log(static_cast<double>(alive_) + 1);
-  std::erase_if(news_, [&](const auto& entry) { return entry.second.told >= most; });
+  const double maxSends = settings_.retransmitFactor * std::log(static_cast<double>(alive_) + 1);
+  std::erase_if(updates_, [&](const auto& entry) { return entry.second.sends >= maxSends; });
 }
 
-// Guards others against being flooded by answers to questions that they have not asked.
-std::size_t Detector::roomToAnswer(const Message& question) const {
-  if (question.size == 0) return settings_.room;
-  const std::size_t most = settings_.amplify * question.size, frame = question.size;
-  return std::min(settings_.room, most - frame);
+// Limits amplification: a request with a forged sender address must not flood that address with answers.
+std::size_t Detector::updateBytesOfAnswer(const Message& request) const {
+  if (request.size == 0) return settings_.updateBytesPerMessage;
+  const std::size_t maxAnswer = settings_.maxAmplification * request.size;
+  const std::size_t frame = request.size;
+  return std::min(settings_.updateBytesPerMessage, maxAnswer - frame);
 }
 
 void Detector::says(Duty duty) {
   auto& own = members_.at(self_).record;
   if (own.published.duty == duty) return;
   own.published = {own.published.revision + 1, duty};
-  told(own);
+  queueUpdate(own);
 }
 
-// Of itself it alone speaks, and refutes what others say.
-void Detector::hearOfItself(const Record& record, Step& step) {
+// Handles a record about this member itself, received from a peer. Only the member is an authority on its own
+// state, so it refutes anything else with a higher incarnation.
+void Detector::refute(const Record& record, Step& step) {
   auto& own = members_.at(self_).record;
-  const bool elsewhere = record.address != own.address;
-  // An earlier process of another version: what others send to this one goes by its version.
-  const bool wrong = elsewhere || record.state != own.state || record.version != own.version ||
-                     record.published.revision > own.published.revision;
-  if (record.incarnation < own.incarnation || (record.incarnation == own.incarnation && !wrong)) return;
-  // What an earlier process of this name has said is refuted once; said again, somebody lives there.
-  if (elsewhere && moved_ && record.state == State::alive) step.nameTakenBy = record.address;
-  moved_ = moved_ || elsewhere;
+  const bool otherAddress = record.address != own.address;
+  // A record left by an earlier process of another version is refuted as well, since peers choose the message
+  // format by the recorded version.
+  const bool outdated = otherAddress || record.state != own.state || record.version != own.version ||
+                        record.published.revision > own.published.revision;
+  if (record.incarnation < own.incarnation || (record.incarnation == own.incarnation && !outdated)) return;
+  // A record of an earlier process of this name is refuted once; if it comes again, a live process uses the
+  // name.
+  if (otherAddress && addressRefuted_ && record.state == State::alive) step.nameTakenBy = record.address;
+  addressRefuted_ = addressRefuted_ || otherAddress;
   own.incarnation = record.incarnation + 1;
-  if (record.state == State::suspect) healthBy(1);
-  told(own);
+  if (record.state == State::suspect) adjustHealth(1);
+  queueUpdate(own);
 }
 
-// Takes what is news.
-void Detector::hear(const Record& record, const std::string& from, Step& step) {
-  if (record.name == self_) return hearOfItself(record, step);
+// Merges a received record into the view and queues it for gossip if it is new.
+void Detector::merge(const Record& record, const std::string& from, Step& step) {
+  if (record.name == self_) return refute(record, step);
   const auto at = members_.find(record.name);
   if (at == members_.end()) {
-    if (members_.size() >= settings_.mostMembers) return void(++dropped_);
-    return note(record, "heard from " + from, step);
+    if (members_.size() >= settings_.maxMembers) return void(++dropped_);
+    return setState(record, "heard from " + from, step);
   }
   auto& known = at->second.record;
-  const bool same = record.incarnation == known.incarnation;
-  if (same && record.state == State::suspect && known.state == State::suspect) {
+  const bool sameIncarnation = record.incarnation == known.incarnation;
+  if (sameIncarnation && record.state == State::suspect && known.state == State::suspect) {
     auto& by = suspicions_[record.name].by;
-    if (by.size() <= settings_.confirmations && by.insert(record.by).second) told(record);
+    if (by.size() <= settings_.confirmations && by.insert(record.by).second) queueUpdate(record);
   }
-  const bool later = same && record.published.revision > known.published.revision;
+  const bool newerRevision = sameIncarnation && record.published.revision > known.published.revision;
   if (outranks(record, known)) {
     auto merged = record;
-    if (same && !later) merged.published = known.published;
-    note(std::move(merged), "heard from " + from, step);
-  } else if (later) {
+    if (sameIncarnation && !newerRevision) merged.published = known.published;
+    setState(std::move(merged), "heard from " + from, step);
+  } else if (newerRevision) {
     known.published = record.published;
-    told(known);
+    queueUpdate(known);
     step.changes.push_back({known, "it says so"});
   }
 }
 
-void Detector::note(Record record, const std::string& cause, Step& step) {
+void Detector::setState(Record record, const std::string& cause, Step& step) {
   auto& member = members_[record.name];
-  const bool was = member.since > 0 && member.record.state <= State::suspect;
-  const bool is = record.state <= State::suspect;
-  alive_ = alive_ + (is ? 1 : 0) - (was ? 1 : 0);
+  const bool wasAlive = member.since > 0 && member.record.state <= State::suspect;
+  const bool isAlive = record.state <= State::suspect;
+  alive_ = alive_ + (isAlive ? 1 : 0) - (wasAlive ? 1 : 0);
   if (record.state == State::suspect) {
     suspicions_[record.name] = {now_, {record.by}};
   } else {
     suspicions_.erase(record.name);
   }
-  told(record);
+  queueUpdate(record);
   step.changes.push_back({record, cause});
   member.record = std::move(record);
-  member.since = now_, member.cause = cause;
+  member.since = now_;
+  member.cause = cause;
 }
 
 Step Detector::join(const std::vector<std::string>& seeds, Nanos now) {
@@ -142,7 +152,7 @@
   probeAt_ = now + std::uniform_int_distribution<Nanos>(0, settings_.period)(random_);
   syncAt_ = now + settings_.syncEvery;
   members_.at(self_).since = now;
-  told(self());
+  queueUpdate(self());
   for (const auto& seed : seeds)
     if (seed != self().address) send(step, seed, Message{.kind = Kind::sync});
   return step;
@@ -153,92 +163,93 @@
   now_ = now;
   auto& own = members_.at(self_).record;
   own.state = State::left;
-  told(own);
+  queueUpdate(own);
   std::vector<const Record*> others;
   for (const auto& [name, member] : members_)
     if (name != self_ && member.record.state <= State::suspect) others.push_back(&member.record);
   std::shuffle(others.begin(), others.end(), random_);
-  if (others.size() > kToldAtLeaving) others.resize(kToldAtLeaving);
+  if (others.size() > kLeaveNotifications) others.resize(kLeaveNotifications);
   for (const auto* other : others) {
     Message message{.kind = Kind::ping, .about = other->name};
-    message.news = {own};  // each hears it, however often news is repeated
+    message.news = {own};  // always included, independent of the gossip queue
     send(step, other->address, std::move(message), 0);
   }
   return step;
 }
 
-// Round by round in a drawn order, so that each is probed within two rounds (SWIM, section 4.3).
+// Probes all members in rounds of random order, so that each is probed within two rounds (SWIM, section 4.3).
 std::string Detector::nextTarget() {
   while (true) {
-    if (order_.empty()) {
+    if (probeOrder_.empty()) {
       for (const auto& [name, member] : members_)
-        if (name != self_ && member.record.state <= State::suspect) order_.push_back(name);
-      std::shuffle(order_.begin(), order_.end(), random_);
-      if (order_.empty()) return {};
+        if (name != self_ && member.record.state <= State::suspect) probeOrder_.push_back(name);
+      std::shuffle(probeOrder_.begin(), probeOrder_.end(), random_);
+      if (probeOrder_.empty()) return {};
     }
-    const auto name = order_.back();
-    order_.pop_back();
+    const auto name = probeOrder_.back();
+    probeOrder_.pop_back();
     const auto at = members_.find(name);
     if (at != members_.end() && at->second.record.state <= State::suspect) return name;
   }
 }
 
-void Detector::probe(Step& step) {
-  probeAt_ = now_ + times(settings_.period, scale());
+void Detector::startProbe(Step& step) {
+  probeAt_ = now_ + times(settings_.period, healthMultiplier());
   const auto target = nextTarget();
   if (target.empty()) {
-    return sync(step);  // alone: whoever is there again is found at the seeds
+    return sync(step);  // isolated: the seeds are the way to find members that have returned
   }
-  outSequence_ = ++sequence_;
-  out_ = Probe{target, now_, false, 0};
-  // One who is suspected hears it with the question, and can say at once that it is not so.
+  probeSequence_ = ++sequence_;
+  probe_ = Probe{target, now_, false, 0};
+  // A suspected member gets the suspicion along with the probe, so that it can refute it at once.
   const auto& record = members_.at(target).record;
-  if (record.state == State::suspect) told(record);
-  send(step, record.address, Message{.kind = Kind::ping, .about = target, .sequence = outSequence_});
+  if (record.state == State::suspect) queueUpdate(record);
+  send(step, record.address, Message{.kind = Kind::ping, .about = target, .sequence = probeSequence_});
 }
 
-void Detector::endProbe(Step& step) {
-  if (!out_) return;
-  const Nanos age = now_ - out_->sentAt;
-  if (!out_->indirect && age >= times(settings_.answerTime, scale())) {
-    out_->indirect = true;
+void Detector::checkProbe(Step& step) {
+  if (!probe_) return;
+  const Nanos age = now_ - probe_->sentAt;
+  if (!probe_->indirect && age >= times(settings_.answerTime, healthMultiplier())) {
+    probe_->indirect = true;
     std::vector<std::string> others;
     for (const auto& [name, member] : members_)
-      if (name != self_ && name != out_->target && member.record.state == State::alive)
+      if (name != self_ && name != probe_->target && member.record.state == State::alive)
         others.push_back(name);
     std::shuffle(others.begin(), others.end(), random_);
-    if (others.size() > settings_.indirect) others.resize(settings_.indirect);
-    out_->nacksDue = others.size();
+    if (others.size() > settings_.indirectProbes) others.resize(settings_.indirectProbes);
+    probe_->nacksDue = others.size();
     for (const auto& name : others)
       send(step, members_.at(name).record.address,
-           Message{.kind = Kind::pingFor, .about = out_->target, .sequence = outSequence_});
+           Message{.kind = Kind::pingRequest, .about = probe_->target, .sequence = probeSequence_});
   }
   if (now_ < probeAt_) return;
-  // Nacks that did not come either speak against this member's own network.
-  healthBy(settings_.lifeguard && out_->nacksDue > 0 ? static_cast<int>(out_->nacksDue) : 1);
-  const auto at = members_.find(out_->target);
-  out_.reset();
+  // Missing nacks point to a problem in this member's own network (Lifeguard).
+  adjustHealth(settings_.lifeguard && probe_->nacksDue > 0 ? static_cast<int>(probe_->nacksDue) : 1);
+  const auto at = members_.find(probe_->target);
+  probe_.reset();
   if (at == members_.end()) return;
   auto record = at->second.record;
-  // A second one's own failure confirms the first one's; otherwise it would be for the others alone to do.
+  // The target is already suspect: this member's own failed probe is a confirmation, to be merged like a
+  // peer's.
   if (record.state == State::suspect) {
     record.by = self_;
-    return hear(record, self().address, step);
+    return merge(record, self().address, step);
   }
   if (record.state != State::alive) return;
   record.state = State::suspect;
   record.by = self_;
-  note(std::move(record), "no answer to a probe", step);
+  setState(std::move(record), "no answer to a probe", step);
 }
 
-void Detector::endSuspicions(Step& step) {
-  std::vector<std::string> over;
+void Detector::expireSuspicions(Step& step) {
+  std::vector<std::string> expired;
   for (const auto& [name, suspicion] : suspicions_)
-    if (now_ - suspicion.since >= suspicionTime(suspicion)) over.push_back(name);
-  for (const auto& name : over) {
+    if (now_ - suspicion.since >= suspicionTime(suspicion)) expired.push_back(name);
+  for (const auto& name : expired) {
     auto record = members_.at(name).record;
     record.state = State::failed;
-    note(std::move(record), "suspected for too long", step);
+    setState(std::move(record), "suspected for too long", step);
   }
 }
 
@@ -246,49 +257,53 @@
   Step step;
   now_ = now;
   if (self().state == State::left) return step;
-  // Guards the others against a member that has stood still: what it waited for may have come and not been
-  // read, so it doubts itself first, and every wait begins anew.
+  // After a stall of this process, answers may be waiting unread in the socket. So as not to accuse healthy
+  // peers, it lowers its own health score and restarts all timers.
   const Nanos gap = now - std::exchange(lastTick_, now);
   if (gap > settings_.period) {
-    out_.reset();
-    healthBy(static_cast<int>(std::min<Nanos>(gap / settings_.period, settings_.worstHealth)));
+    probe_.reset();
+    adjustHealth(static_cast<int>(std::min<Nanos>(gap / settings_.period, settings_.worstHealth)));
     for (auto& [name, suspicion] : suspicions_) suspicion.since += gap;
     probeAt_ = now + settings_.period;
   }
-  endProbe(step);
-  if (now >= probeAt_) probe(step);
-  endSuspicions(step);
-  for (auto& [sequence, asked] : asked_)
-    if (settings_.lifeguard && !asked.nacked && now - asked.sentAt >= settings_.answerTime * 8 / 10) {
-      asked.nacked = true;
-      send(step, asked.address, Message{.kind = Kind::nack, .sequence = asked.sequence});
+  checkProbe(step);
+  if (now >= probeAt_) startProbe(step);
+  expireSuspicions(step);
+  for (auto& [sequence, probe] : relayedProbes_)
+    if (settings_.lifeguard && !probe.nacked && now - probe.sentAt >= settings_.answerTime * 8 / 10) {
+      probe.nacked = true;
+      send(step, probe.address, Message{.kind = Kind::nack, .sequence = probe.sequence});
     }
-  std::erase_if(asked_, [&](const auto& entry) { return now - entry.second.sentAt > 4 * settings_.period; });
-  if (now >= syncAt_) forget(), sync(step);
+  std::erase_if(relayedProbes_,
+                [&](const auto& entry) { return now - entry.second.sentAt > 4 * settings_.period; });
+  if (now >= syncAt_) {
+    forgetDeparted();
+    sync(step);
+  }
   return step;
 }
 
-// With a member, drawn, also one that is held to have failed, or a seed that is not there: it heals what was
-// parted, however long ago.
+// Exchanges the full member list with a random member, which may be a failed one, or with a seed. This heals
+// partitions however long they lasted.
 void Detector::sync(Step& step) {
   syncAt_ = now_ + times(settings_.syncEvery, 0.5 + static_cast<double>(random_() % 1000) / 1000.0);
   std::vector<std::string> others;  // addresses
-  bool alone = true;
+  bool isolated = true;
   for (const auto& [name, member] : members_) {
     if (name == self_ || member.record.state == State::left) continue;
     others.push_back(member.record.address);
-    alone = alone && member.record.state != State::alive;
+    isolated = isolated && member.record.state != State::alive;
   }
-  const auto ask = [&](const std::string& address) {
+  const auto request = [&](const std::string& address) {
     if (address != self().address) send(step, address, Message{.kind = Kind::sync});
   };
-  if (alone) std::for_each(seeds_.begin(), seeds_.end(), ask);
-  if (!alone) others.insert(others.end(), seeds_.begin(), seeds_.end());
-  if (!others.empty()) ask(others[random_() % others.size()]);
+  if (isolated) std::for_each(seeds_.begin(), seeds_.end(), request);
+  if (!isolated) others.insert(others.end(), seeds_.begin(), seeds_.end());
+  if (!others.empty()) request(others[random_() % others.size()]);
 }
 
-// Replaced day after day, members must not fill the memory.
-void Detector::forget() {
+// Removes failed and left members: names that are replaced daily must not accumulate in memory.
+void Detector::forgetDeparted() {
   std::erase_if(members_, [&](const auto& entry) {
     return entry.second.record.state >= State::failed && entry.first != self_ &&
            now_ - entry.second.since > settings_.forgetAfter;
@@ -300,46 +315,49 @@
   now_ = now;
   if (self().state == State::left) return step;
   for (const auto& record : message.news) {
-    // Who is there by the answer to an exchange is news to this one alone: the others need not hear it again
-    // from each that joins.
-    const bool met = members_.count(record.name) > 0 || record.state != State::alive;
-    hear(record, message.from, step);
-    if (message.kind == Kind::syncReply && !met) news_.erase(record.name);
+    // Alive members learnt from a sync reply are new to this member only; gossiping them would repeat them to
+    // the whole fleet with each join.
+    const bool known = members_.count(record.name) > 0 || record.state != State::alive;
+    merge(record, message.from, step);
+    if (message.kind == Kind::syncReply && !known) updates_.erase(record.name);
+  }
+  if (const auto at = members_.find(message.sender); at != members_.end() && message.sender != self_) {
+    at->second.heardAt = now;
+    at->second.load = message.load;
   }
-  if (const auto at = members_.find(message.sender); at != members_.end() && message.sender != self_)
-    at->second.heardAt = now, at->second.load = message.load;
   switch (message.kind) {
     case Kind::ping:
       if (message.about == self_)
         send(step, message.from, Message{.kind = Kind::ack, .about = self_, .sequence = message.sequence},
-             roomToAnswer(message));
+             updateBytesOfAnswer(message));
       break;
-    case Kind::pingFor:
-      if (const auto at = members_.find(message.about); at != members_.end() && asked_.size() < kMostAsked) {
-        asked_[++sequence_] = {message.from, message.sequence, now, false};
+    case Kind::pingRequest:
+      if (const auto at = members_.find(message.about);
+          at != members_.end() && relayedProbes_.size() < kMaxRelayedProbes) {
+        relayedProbes_[++sequence_] = {message.from, message.sequence, now, false};
         send(step, at->second.record.address,
              Message{.kind = Kind::ping, .about = message.about, .sequence = sequence_},
-             roomToAnswer(message));
+             updateBytesOfAnswer(message));
       }
       break;
     case Kind::ack:
-      if (const auto at = asked_.find(message.sequence); at != asked_.end()) {
+      if (const auto at = relayedProbes_.find(message.sequence); at != relayedProbes_.end()) {
         send(step, at->second.address,
              Message{.kind = Kind::ack, .about = message.about, .sequence = at->second.sequence});
-        asked_.erase(at);
-      } else if (out_ && message.sequence == outSequence_ && message.about == out_->target) {
-        out_.reset();
-        healthBy(-1);
+        relayedProbes_.erase(at);
+      } else if (probe_ && message.sequence == probeSequence_ && message.about == probe_->target) {
+        probe_.reset();
+        adjustHealth(-1);
       }
       break;
     case Kind::nack:
-      if (out_ && message.sequence == outSequence_ && out_->nacksDue > 0) --out_->nacksDue;
+      if (probe_ && message.sequence == probeSequence_ && probe_->nacksDue > 0) --probe_->nacksDue;
       break;
     case Kind::sync:
       send(step, message.from, Message{.kind = Kind::syncReply});
       break;
     case Kind::syncReply:
-    case Kind::agreement:  // not this part's
+    case Kind::agreement:  // handled by other modules
     case Kind::follow:
     case Kind::followReply:
     case Kind::dissemination:
--- a/src/membership/load_meter.hpp
+++ b/src/membership/load_meter.hpp
@@ -1,4 +1,4 @@
-// How busy this member is, from the counts that only grow. Pure.
+// Computes a member's current load from counters that only grow. Does no I/O and reads no clock.
 #pragma once
 
 #include "membership/record.hpp"
@@ -8,22 +8,29 @@
 class LoadMeter {
  public:
   struct Totals {
-    std::uint64_t open = 0;                // requests, now
-    std::uint64_t taken = 0, refused = 0;  // since the start
+    std::uint64_t open = 0;     // requests in progress now
+    std::uint64_t taken = 0;    // requests received since the start, refused ones included
+    std::uint64_t refused = 0;  // requests refused since the start
   };
-  // The share refused is that of the latest kHalf to twice kHalf.
+
+  // Load at `now`. The refused share covers the last one to two kWindowNs.
   Load now(const Totals& totals, Nanos now) {
-    if (now - since_ >= kHalf) before_ = last_, last_ = totals, since_ = now;
-    const auto taken = totals.taken - before_.taken, refused = totals.refused - before_.refused;
+    if (now - windowStartedAt_ >= kWindowNs) {
+      previousWindow_ = currentWindow_;
+      currentWindow_ = totals;
+      windowStartedAt_ = now;
+    }
+    const auto taken = totals.taken - previousWindow_.taken;
+    const auto refused = totals.refused - previousWindow_.refused;
     return {static_cast<std::uint32_t>(totals.open),
             static_cast<std::uint32_t>(taken > 0 ? refused * 1000 / taken : 0)};
   }
 
-  static constexpr Nanos kHalf = 5'000'000'000;
+  static constexpr Nanos kWindowNs = 5'000'000'000;
 
  private:
-  Totals before_, last_;
-  Nanos since_ = 0;
+  Totals previousWindow_, currentWindow_;  // counters at the start of each window
+  Nanos windowStartedAt_ = 0;
 };
 
 }  // namespace topazweir::membership
--- a/src/membership/sharers.cpp
+++ b/src/membership/sharers.cpp
@@ -1,3 +1,4 @@
+// Keeps the recent maximum of the member count with a monotonic queue.
 #include "membership/sharers.hpp"
 
 #include <algorithm>
@@ -11,11 +12,11 @@
     if (name == detector.self().name) share.number = share.count;
     ++share.count;
   }
-  if (seen_.empty()) seen_.push_back({now, usual_});
-  while (!seen_.empty() && seen_.back().count <= share.count) seen_.pop_back();
-  seen_.push_back({now, share.count});
-  while (seen_.size() > 1 && now - seen_.front().at >= settle_) seen_.pop_front();
-  share.count = seen_.front().count;
+  if (observations_.empty()) observations_.push_back({now, configuredCount_});
+  while (!observations_.empty() && observations_.back().count <= share.count) observations_.pop_back();
+  observations_.push_back({now, share.count});
+  while (observations_.size() > 1 && now - observations_.front().lastAt >= settle_) observations_.pop_front();
+  share.count = observations_.front().count;
   return share;
 }
 
--- a/src/membership/sharers.hpp
+++ b/src/membership/sharers.hpp
@@ -1,5 +1,5 @@
-// By how many a common limit is divided, such as the ceiling on a cold server, and which share is this
-// member's: from the live view instead of a fixed count. Pure.
+// Divides a limit that is common to the fleet, such as the slow-start limit of a cold server, among its
+// members: from the live membership view instead of a configured count. Does no I/O and reads no clock.
 #pragma once
 
 #include <deque>
@@ -11,28 +11,30 @@
 
 struct Share {
   int count = 1;   // members that may be sending
-  int number = 0;  // this member's place among them, from 0
+  int number = 0;  // index of this member among them, from 0
   bool operator==(const Share&) const = default;
 };
 
-// Who is held to have failed may be cut off and sending all the same, so it counts until it is forgotten; who
-// has left does not. The count rises at once and falls only when it has been lower for `settle`: while views
-// differ, the most cautious of late holds, so that the sum of all shares stays under the limit.
+// Counts the members that share a limit. A failed member may only be partitioned and still be sending, so it
+// counts until it is forgotten; a member that has left does not count. The count rises at once and falls only
+// after it has been lower for `settle`: while views differ, each member uses the highest recent count, so
+// that the sum of all shares stays within the limit.
 class Sharers {
  public:
-  // `usual`: what is held until the first `settle` is over, as configured.
-  Sharers(Nanos settle, int usual) : settle_(settle), usual_(usual) {}
+  // `settle`: nanoseconds. `configuredCount`: lower bound of the count until the first `settle` has passed.
+  Sharers(Nanos settle, int configuredCount) : settle_(settle), configuredCount_(configuredCount) {}
 
   Share now(const Detector& detector, Nanos now);
 
  private:
-  struct Seen {
-    Nanos at = 0;  // last
+  struct Observation {
+    Nanos lastAt = 0;
     int count = 0;
   };
   Nanos settle_;
-  int usual_;
-  std::deque<Seen> seen_;  // counts fall from first to last, so there is at most one a member
+  int configuredCount_;
+  // Counts fall strictly from first to last, so the length is bounded by the highest count.
+  std::deque<Observation> observations_;
 };
 
 }  // namespace topazweir::membership
--- a/src/membership/standing.cpp
+++ b/src/membership/standing.cpp
@@ -5,12 +5,12 @@
 namespace topazweir::membership {
 
 Standing standing(const Detector& detector, const std::vector<std::string>& voters, bool led) {
-  const auto there = [&](const std::string& name) {
+  const auto isAlive = [&](const std::string& name) {
     const auto at = detector.view().find(name);
     return at != detector.view().end() && at->second.record.state == State::alive;
   };
-  const auto reached = std::count_if(voters.begin(), voters.end(), there);
-  if (2 * static_cast<std::size_t>(reached) > voters.size() && led) return Standing::agreed;
+  const auto reachable = std::count_if(voters.begin(), voters.end(), isAlive);
+  if (2 * static_cast<std::size_t>(reachable) > voters.size() && led) return Standing::agreed;
   const auto& view = detector.view();
   const auto alive = std::count_if(
       view.begin(), view.end(), [](const auto& entry) { return entry.second.record.state == State::alive; });
--- a/src/membership/standing.hpp
+++ b/src/membership/standing.hpp
@@ -1,4 +1,5 @@
-// What a member may take for agreed, by whom of the voters it can reach. Pure.
+// Derives from the reachable voters whether this member is in the majority side of the fleet. Does no I/O and
+// reads no clock.
 #pragma once
 
 #include <string>
@@ -9,14 +10,14 @@
 namespace topazweir::membership {
 
 enum class Standing {
-  agreed,    // with a majority of the voters there is a part of the fleet that decides, and this is in it
-  minority,  // cut off from most voters, or none are named: nothing that takes capacity away
-  alone      // nobody else is there
+  agreed,    // majority: connected to a quorum of voters, so decisions of the Raft group reach this member
+  minority,  // no quorum is reachable, or no voters are configured: capacity must not be taken away
+  alone      // no other member is alive in this member's view
 };
 inline constexpr const char* kStandingNames[] = {"agreed", "minority", "alone"};
 
-// A voter under suspicion does not count: it may be the one that is cut off. `led`: a voter that keeps the
-// register knows of a leader; true for those that keep none.
+// A suspected voter does not count as reachable, since it may be partitioned. `led`: for a voter, whether it
+// knows of a current leader; true for members that are not voters.
 Standing standing(const Detector& detector, const std::vector<std::string>& voters, bool led);
 
 }  // namespace topazweir::membership
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -28,7 +28,7 @@
   w.leave(8);
   w.run(30 * kSec);
   CHECK(w.hold(8, State::left, State::left) == w.running());
-  CHECK(w.mostNews <= membership::Settings().newsPerMessage);
+  CHECK(w.mostNews <= membership::Settings().updatesPerMessage);
 }
 
 // It must not take the others for failed that it has not heard while it stood still itself.
