--- a/src/dissemination/budget.hpp
+++ b/src/dissemination/budget.hpp
@@ -1,7 +1,8 @@
-// What may be sent: a token bucket for the mean and its bursts, and two small ones. One spreads a burst of
-// data over time; the other holds words (beats, reports, answers) to three quarters of the mean, so that data
-// goes on whatever is asked. Words go first: data leaves a part of the bucket to them, snapshots a larger
-// one.
+// Send budget of a member: a token bucket for the mean rate and its bursts, and two smaller ones. One paces
+// data (changes, snapshot pieces), which spreads a burst over time; the other limits control messages
+// (heartbeats, reports, replies) to three quarters of the mean rate, so that data makes progress whatever is
+// requested. Control messages have priority: data leaves a part of the main bucket to them, snapshot pieces a
+// larger part than changes.
 #pragma once
 
 #include <algorithm>
@@ -11,8 +12,12 @@
 
 namespace topazweir::dissemination {
 
-// Words keep the tree up; an answer is one that may as well be asked for again.
-enum class Urgency { word, answer, change, piece };
+enum class Urgency {
+  control,  // keeps the tree working
+  reply,    // a control message that its receiver can request again
+  change,
+  piece  // of a snapshot
+};
 
 class Budget {
  public:
@@ -20,46 +25,48 @@
       : rate_(bytesPerSecond),
         burst_(static_cast<double>(burstBytes)),
         tokens_(burst_),
-        words_(wordBurst()),
-        pace_(paceBurst()) {}
+        controlTokens_(controlBurst()),
+        dataTokens_(dataBurst()) {}
 
-  // False: not now. Nothing is kept of it; who asked asks again.
+  // Takes `bytes` from the budget; false: not available now. Nothing is queued, the caller tries again later.
   bool spend(std::size_t bytes, Urgency urgency, Nanos now) {
     refill(now);
     const auto need = static_cast<double>(bytes);
-    const bool word = urgency == Urgency::word || urgency == Urgency::answer;
-    const double left = word ? 0 : burst_ / (urgency == Urgency::change ? 32 : 8);
-    if (tokens_ - need < left || (!word && pace_ < need)) return false;
-    if (word && words_ - need < (urgency == Urgency::answer ? wordBurst() / 2 : 0)) return false;
+    const bool control = urgency == Urgency::control || urgency == Urgency::reply;
+    const double reserve = control ? 0 : burst_ / (urgency == Urgency::change ? 32 : 8);
+    if (tokens_ - need < reserve || (!control && dataTokens_ < need)) return false;
+    const double controlReserve = urgency == Urgency::reply ? controlBurst() / 2 : 0;
+    if (control && controlTokens_ - need < controlReserve) return false;
     tokens_ -= need;
-    (word ? words_ : pace_) -= need;
+    (control ? controlTokens_ : dataTokens_) -= need;
     return true;
   }
 
-  // Less than half of a burst is left.
+  // Whether less than half of a burst is left.
   bool low(Nanos now) {
     refill(now);
     return 2 * tokens_ < burst_;
   }
 
-  // Data in one moment, and again each tenth of a second.
-  static constexpr double kPaceBytes = 32 * 1024;
-  static constexpr double kWordShare = 0.75;
+  static constexpr double kDataBurstBytes = 32 * 1024;  // data at once, refilled every 100 ms
+  static constexpr double kControlShare = 0.75;         // of the mean rate
 
  private:
-  double paceBurst() const { return std::min(kPaceBytes, burst_); }
-  double wordBurst() const { return burst_ / 8; }
+  double dataBurst() const { return std::min(kDataBurstBytes, burst_); }
+  double controlBurst() const { return burst_ / 8; }
   void refill(Nanos now) {
-    if (now <= at_) return;
-    const double seconds = at_ == 0 ? 0 : static_cast<double>(now - at_) / 1e9;
-    at_ = now;
+    if (now <= refilledAt_) return;
+    const double seconds = refilledAt_ == 0 ? 0 : static_cast<double>(now - refilledAt_) / 1e9;
+    refilledAt_ = now;
     tokens_ = std::min(burst_, tokens_ + rate_ * seconds);
-    words_ = std::min(wordBurst(), words_ + kWordShare * rate_ * seconds);
-    pace_ = std::min(paceBurst(), pace_ + 10 * kPaceBytes * seconds);
+    controlTokens_ = std::min(controlBurst(), controlTokens_ + kControlShare * rate_ * seconds);
+    dataTokens_ = std::min(dataBurst(), dataTokens_ + 10 * kDataBurstBytes * seconds);
   }
 
-  double rate_, burst_, tokens_, words_, pace_;
-  Nanos at_ = 0;
+  double rate_;   // bytes per second
+  double burst_;  // bytes
+  double tokens_, controlTokens_, dataTokens_;
+  Nanos refilledAt_ = 0;
 };
 
 }  // namespace topazweir::dissemination
--- a/src/dissemination/children.hpp
+++ b/src/dissemination/children.hpp
@@ -1,5 +1,6 @@
-// Who has its news from this member, how far each is, and what all of them below have, as counts.
-// At most `hard` of them; one that has not reported for kForgotten is dropped, and its counts with it.
+// The children of this member in the dissemination tree: how far each of them is, and the aggregated counts
+// of their subtrees. Their number is bounded by hardLimit(); a child that has not reported for
+// kSubscriptionExpiryNs is removed together with its counts.
 #pragma once
 
 #include <map>
@@ -10,12 +11,13 @@
 
 namespace topazweir::dissemination {
 
-// What a subtree has, its root included.
+// Aggregated counts of a subtree, its root included.
 struct Counts {
-  Position at;  // of its root; `level` counts those that have the same
-  std::uint64_t members = 1, level = 1;
-  Position low;
-  std::vector<Slowest> slowest;  // below `at`, the farthest behind first
+  Position at;                   // of the root
+  std::uint64_t members = 1;     // in the subtree
+  std::uint64_t level = 1;       // members of the subtree at the position `at`
+  Position low;                  // low watermark of the subtree
+  std::vector<Slowest> slowest;  // members below `at`, the farthest behind first
   Nanos reportedAt = 0;
 
   static Counts of(const Report& report, Nanos now);
@@ -24,37 +26,43 @@
 struct Child {
   Counts counts;
   std::uint64_t digest = 0;  // of the content at counts.at
-  bool onLog = false;        // it has what this one had at `sent`, and gets what follows
-  std::uint64_t sent = 0;    // as far as it has been sent changes
-  Nanos sentAt = 0, offeredAt = 0;
-  bool waits = false;  // for the budget
+  bool onLog = false;      // its register is a prefix of this member's log, which it receives from `sent` on
+  std::uint64_t sent = 0;  // number of the last change that was sent to it
+  Nanos sentAt = 0;
+  Nanos offeredAt = 0;  // of the last snapshot offer
+  bool waitsForBudget = false;
 };
 
 class Children {
  public:
-  enum class Admission { taken, refused, instead };  // instead: of another one, which is to be turned away
-  // Those that are not urgent leave room for who finds none elsewhere.
+  enum class Admission {
+    admitted,
+    refused,
+    replaced  // admitted in place of another child, which has to be told that it was refused
+  };
+  // Children that are not urgent leave some slots to members that find no other parent. `replacedChild` is
+  // set with Admission::replaced.
   Admission admit(const std::string& name, bool urgent, const Tree& tree, std::size_t fanOut,
-                  std::string& turnedAway);
+                  std::string& replacedChild);
   bool hasRoom(const Tree& tree, std::size_t fanOut) const;
   Child* find(const std::string& name);
-  void remove(const std::string& name) { all_.erase(name); }
-  bool forget(Nanos now);  // true: somebody
-  void stoodStill(Nanos time);
-  std::map<std::string, Child>& all() { return all_; }
-  const std::map<std::string, Child>& all() const { return all_; }
+  void remove(const std::string& name) { children_.erase(name); }
+  bool removeExpired(Nanos now);  // whether any child was removed
+  void onStall(Nanos duration);   // extends all subscriptions by the time that this process was stalled
+  std::map<std::string, Child>& all() { return children_; }
+  const std::map<std::string, Child>& all() const { return children_; }
 
-  static constexpr Nanos kRenew = 2'000'000'000;  // of a subscription
-  static constexpr Nanos kForgotten = 7 * kRenew / 2;
+  static constexpr Nanos kRenewalIntervalNs = 2'000'000'000;  // of a subscription
+  static constexpr Nanos kSubscriptionExpiryNs = 7 * kRenewalIntervalNs / 2;
 
  private:
-  static std::size_t soft(const Tree& tree, std::size_t fanOut);
-  static std::size_t hard(const Tree& tree, std::size_t fanOut);
+  static std::size_t softLimit(const Tree& tree, std::size_t fanOut);
+  static std::size_t hardLimit(const Tree& tree, std::size_t fanOut);
 
-  std::map<std::string, Child> all_;
+  std::map<std::string, Child> children_;
 };
 
-// Of this member at `own`, its children and whoever else reports to it.
+// Aggregates this member at position `own`, its children and the other members that report to it (`others`).
 InForce sum(const Position& own, const Children& children, const std::map<std::string, Counts>& others);
 
 }  // namespace topazweir::dissemination
--- a/src/dissemination/disseminator.hpp
+++ b/src/dissemination/disseminator.hpp
@@ -1,6 +1,7 @@
-// How what the voters have agreed on reaches every member: numbered changes pushed down a dissemination tree
-// of voters, relays and members; a snapshot in pieces for who is behind the tail of the log; the low
-// watermark comes back up as counts. Pure: messages, the view and `now` in, messages out. Why it is as it is:
+// Distributes the voters' replicated register to every member of the fleet: numbered changes are pushed down
+// a dissemination tree of voters, relays and members; a member that is behind the tail of the log fetches a
+// snapshot in pieces; the low watermark comes back up the tree as aggregated counts. Does no I/O and reads no
+// clock: messages, the membership view and `now` go in, messages come out. Design:
 // docs/design/dissemination.md.
 #pragma once
 
@@ -15,74 +16,81 @@
 
 namespace topazweir::dissemination {
 
-// Where a register stands. The generation is that of the voters' state: a new one, after all of their folders
-// were emptied, outranks every number of an earlier one. Ordered by the generation, then the number.
+// Position of a register in the voters' log. The generation identifies the voters' state: a new one, begun
+// after all of their state folders were emptied, supersedes every number of an earlier one. Ordered by the
+// generation, then the number.
 struct Position {
-  std::uint64_t generation = 0;  // Unix ms at which the first leader began it; 0: not known yet
+  std::uint64_t generation = 0;  // Unix ms at which the first leader began this state; 0: not known yet
   std::uint64_t number = 0;      // commands applied, agreement::Register::commands()
   auto operator<=>(const Position&) const = default;
 };
 Position positionOf(const agreement::Register& held);
 
 struct Settings {
-  std::string self;
-  std::string zone;
-  bool votes = false;               // this one keeps the register itself, by agreement
-  std::vector<std::string> voters;  // names; none: nothing is disseminated
-  std::vector<std::string>
-      relays;  // names of those that alone relay while any of them is there; none: members do
-  // Children of a voter or relay as planned; at most twice as many are taken. Their beats, and all that they
-  // missed in an hour's cut, have to fit into its bytes.
+  std::string self;                 // name of this member
+  std::string zone;                 // of this member
+  bool votes = false;               // this member is a voter and has the register from the Raft group
+  std::vector<std::string> voters;  // names; empty: nothing is disseminated
+  // Names of dedicated relays: while any of them is alive, no other member relays. Empty: members relay.
+  std::vector<std::string> relays;
+  // Planned children of a voter or relay; at most twice as many are admitted. The heartbeats to them, and all
+  // changes that they missed in an hour of partition, have to fit into the byte budget.
   std::size_t fanOut = 5;
-  Nanos beatEvery = 250'000'000;     // between two words of a parent
-  Nanos silentAfter = 800'000'000;   // without a word a parent is left for the next one
-  Nanos staleAfter = 2'000'000'000;  // age of its news from which one with fresher news is looked for
-  std::size_t tailChanges = 4096, tailBytes = 1024 * 1024;  // of the log, kept for who is behind
-  std::uint64_t snapshotEvery = 512;  // changes; everywhere at the same numbers, so that pieces of one go on
-                                      // from any parent
-  std::size_t pieceBytes = 1000;      // of a snapshot, a message each
-  std::size_t mostSnapshot = 64 * 1024 * 1024;
-  double bytesPerSecond = 2048;         // sent in the mean, all messages of this part
-  std::size_t burstBytes = 240 * 1024;  // and in a burst: 6 KB/s in any minute
-  std::size_t frameBytes = 48;          // of the wire around each message
+  Nanos beatEvery = 250'000'000;     // between two heartbeats of a parent
+  Nanos silentAfter = 800'000'000;   // heartbeat timeout, after which a child changes to the next parent
+  Nanos staleAfter = 2'000'000'000;  // age of the state from which a parent with fresher state is looked for
+  std::size_t tailChanges = 4096;    // log entries kept for members that are behind
+  std::size_t tailBytes = 1024 * 1024;  // bytes of log entries kept for members that are behind
+  // Changes between two snapshots; taken at the same numbers by all members, so that a fetch can continue
+  // from any parent.
+  std::uint64_t snapshotEvery = 512;
+  std::size_t pieceBytes = 1000;  // of a snapshot, per message
+  std::size_t maxSnapshotBytes = 64 * 1024 * 1024;
+  double bytesPerSecond = 2048;         // mean send rate over all messages of this module
+  std::size_t burstBytes = 240 * 1024;  // with the mean rate: 6 KB/s in any minute
+  std::size_t frameBytes = 48;          // overhead of the wire format per message
   std::uint64_t seed = 1;
 };
 
-struct Peer {  // a member as the view shows it
+// A member in the membership view.
+struct Peer {
   std::string name, zone;
-  bool alive = false;  // suspects count as alive
+  bool alive = false;  // suspect members count as alive
   bool operator==(const Peer&) const = default;
 };
 
 struct Out {
   std::string to;     // name of a member
-  std::string bytes;  // at most kMostMessage
+  std::string bytes;  // at most kMaxMessageBytes
 };
-inline constexpr std::size_t kMostMessage = 16 * 1024;  // beyond a datagram it goes by stream
+// Messages that do not fit into a datagram are sent over a stream.
+inline constexpr std::size_t kMaxMessageBytes = 16 * 1024;
 
 struct Slowest {
   std::string name;
   Position at;
 };
 
-// What is in force, by the counts that have come up the tree to this one. Of a leader: the whole fleet's.
+// Progress of this member's subtree, from the counts reported up the tree. At the leader: of the whole fleet.
 struct InForce {
-  std::uint64_t members = 0;     // counted, itself included
-  Position low;                  // what all of them have: the low watermark
-  std::uint64_t level = 0;       // how many have this one's own position
-  std::vector<Slowest> slowest;  // the farthest behind, at most kSlowest
+  std::uint64_t members = 0;     // counted, this member included
+  Position low;                  // low watermark: the position that all of them have reached
+  std::uint64_t level = 0;       // members at this member's own position
+  std::vector<Slowest> slowest;  // members farthest behind, at most kMaxSlowest
 };
-inline constexpr std::size_t kSlowest = 3;
+inline constexpr std::size_t kMaxSlowest = 3;
 
 struct Counters {
-  std::uint64_t changesApplied = 0, snapshotsTaken = 0;                    // snapshots put in place whole
-  std::uint64_t sent = 0, sentBytes = 0, received = 0, receivedBytes = 0;  // with frameBytes
-  std::uint64_t deferred = 0;     // messages that waited for the budget
-  std::uint64_t broken = 0;       // not read: cut off, altered, oversized
-  std::uint64_t repeated = 0;     // known already, or out of order: passed over
-  std::uint64_t diverged = 0;     // the digest after changes was not the sender's: a snapshot was asked for
-  std::uint64_t parentsLeft = 0;  // silent, stale or gone
-  std::uint64_t turnedAway = 0;   // children beyond twice the fan-out
+  std::uint64_t changesApplied = 0;
+  std::uint64_t snapshotsTaken = 0;               // snapshots installed
+  std::uint64_t sent = 0, sentBytes = 0;          // messages; bytes include frameBytes
+  std::uint64_t received = 0, receivedBytes = 0;  // messages; bytes include frameBytes
+  std::uint64_t deferred = 0;                     // messages that were held back by the budget
+  std::uint64_t broken = 0;                       // malformed messages: truncated, corrupted or oversized
+  std::uint64_t repeated = 0;                     // messages ignored as duplicate, unexpected or out of order
+  std::uint64_t diverged = 0;     // digest mismatches after changes, each followed by a snapshot request
+  std::uint64_t parentsLeft = 0;  // parents left because they were unresponsive, stale, slow or gone
+  std::uint64_t turnedAway = 0;   // children refused beyond the limit
 };
 
 class Disseminator {
@@ -92,26 +100,30 @@
   Disseminator(const Disseminator&) = delete;
   Disseminator& operator=(const Disseminator&) = delete;
 
-  // Of a voter. What is agreed on: `held` is the register after all of `applied`, the commands that led from
-  // the latest call to it in order; where they don't connect (a start, a snapshot), `held` is taken whole.
-  // `led`: this voter knows of a leader, so that its register is fresh. `leader`: its name; counts go there.
+  // At a voter: passes on what the Raft group committed. `held` is the register after all of `applied`, the
+  // commands applied since the last call, in order; where they do not connect to the state here (after a
+  // start or a Raft snapshot), `held` is taken as a whole. `leader`: name of the current leader, which
+  // receives this voter's counts; empty: not known, so the register counts as stale.
   std::vector<Out> agreed(const agreement::Register& held, const std::vector<agreement::Command>& applied,
                           const std::string& leader, Nanos now);
 
-  // Of a member that has asked a voter for the whole register, where no word came down the tree: taken whole
-  // if it is later than what is held, so that the log goes on from there and no snapshot is fetched.
+  // At a member that requested the whole register from a voter because nothing arrived through the tree:
+  // takes `whole` if it is later than the current register, so that the log continues from there and no
+  // snapshot is fetched. Ignored at a voter.
   std::vector<Out> adopt(const agreement::Register& whole, Nanos now);
 
-  // The view has changed. Costs of the order of its members, at most once per beat, however often it is told.
+  // Sets the membership view. The tree is recomputed, in time proportional to the members, at most once per
+  // beatEvery however often this is called.
   void sees(std::vector<Peer> view);
-  std::vector<Out> tick(Nanos now);  // every 100 ms or more often
+  std::vector<Out> tick(Nanos now);  // to be called every 100 ms or more often
   std::vector<Out> received(const std::string& from, std::string_view bytes, Nanos now);
 
   const agreement::Register& held() const;
   Position position() const;
-  // Since when a voter that knew of a leader last vouched for what is held here; negative: never.
+  // Time since a voter that knew of a leader last confirmed that the register held here is current; negative:
+  // never.
   Nanos age(Nanos now) const;
-  const std::string& parent() const;  // empty: none (a voter, or nobody is there)
+  const std::string& parent() const;  // empty: none (this member is a voter, or no parent is available)
   std::size_t children() const;
   InForce inForce() const;
   const Counters& counters() const;
@@ -121,7 +133,7 @@
   std::unique_ptr<Impl> impl_;
 };
 
-// The key under which the first leader of new voters' state writes its generation, in decimal.
+// The key under which the first leader of a new voters' state writes its generation, in decimal.
 inline constexpr const char* kGenerationKey = "log/generation";
 
 }  // namespace topazweir::dissemination
--- a/src/dissemination/fetch.cpp
+++ b/src/dissemination/fetch.cpp
@@ -1,3 +1,4 @@
+// Scheduling of piece requests over the sources of a snapshot.
 #include "dissemination/fetch.hpp"
 
 #include <algorithm>
@@ -8,13 +9,13 @@
     : offer_(offer), pieceBytes_(pieceBytes), progressAt_(now) {
   const std::size_t count = (offer.size + pieceBytes - 1) / pieceBytes;
   pieces_.resize(count);
-  askedAt_.resize(count, 0);
-  mayHaveIt(sources);
+  requestedAt_.resize(count, 0);
+  addSources(sources);
 }
 
-void Fetch::mayHaveIt(const std::vector<std::string>& sources) {
+void Fetch::addSources(const std::vector<std::string>& sources) {
   for (const auto& name : sources) {
-    if (sources_.size() >= kMostSources) break;
+    if (sources_.size() >= kMaxSources) break;
     if (!find(name)) sources_.push_back({name});
   }
 }
@@ -25,56 +26,58 @@
   return at == sources_.end() ? nullptr : &*at;
 }
 
-void Fetch::hasIt(const std::string& name) {
+void Fetch::addFirstSource(const std::string& name) {
   if (find(name)) return;
-  if (sources_.size() >= kMostSources) sources_.pop_back();
+  if (sources_.size() >= kMaxSources) sources_.pop_back();
   sources_.insert(sources_.begin(), {name});
 }
 
-void Fetch::leaveAlone(Source& source, Nanos now) {
-  source.open = 0;
-  source.notBefore = now + source.wait;
-  source.wait = std::min(kMostBusy, 2 * source.wait);
+void Fetch::backOff(Source& source, Nanos now) {
+  source.outstanding = 0;
+  source.notBefore = now + source.backoff;
+  source.backoff = std::min(kMaxBusyBackoffNs, 2 * source.backoff);
 }
 
-bool Fetch::askOf(Source& source, Nanos now, Questions& out) {
-  while (low_ < pieces_.size() && !pieces_[low_].empty()) ++low_;
-  const auto free = [&](std::size_t i) {
-    return pieces_[i].empty() && (askedAt_[i] == 0 || now - askedAt_[i] >= kAnswerWithin);
+bool Fetch::requestRun(Source& source, Nanos now, OutgoingRequests& out) {
+  while (firstMissing_ < pieces_.size() && !pieces_[firstMissing_].empty()) ++firstMissing_;
+  const auto due = [&](std::size_t i) {
+    return pieces_[i].empty() && (requestedAt_[i] == 0 || now - requestedAt_[i] >= kPieceTimeoutNs);
   };
-  std::size_t first = low_;
-  while (first < pieces_.size() && !free(first)) ++first;
+  std::size_t first = firstMissing_;
+  while (first < pieces_.size() && !due(first)) ++first;
   if (first == pieces_.size()) return false;
   std::uint32_t count = 0;
-  while (first + count < pieces_.size() && count < Ask::kMostCount && free(first + count))
-    askedAt_[first + count++] = now;
-  source.askedAt = now, source.open = count, source.got = 0;
+  while (first + count < pieces_.size() && count < PieceRequest::kMaxCount && due(first + count))
+    requestedAt_[first + count++] = now;
+  source.requestedAt = now;
+  source.outstanding = count;
+  source.received = 0;
   out.push_back({source.name,
                  {offer_.number, offer_.hash, static_cast<std::uint32_t>(pieceBytes_),
                   static_cast<std::uint32_t>(first), count}});
   return true;
 }
 
-Fetch::Questions Fetch::tick(Nanos now) {
-  Questions out;
-  std::size_t open = 0;
+Fetch::OutgoingRequests Fetch::tick(Nanos now) {
+  OutgoingRequests out;
+  std::size_t runs = 0;
   for (auto& s : sources_) {
-    if (s.open > 0 && now - s.askedAt >= kAnswerWithin) {
-      if (s.got == 0) leaveAlone(s, now);
-      s.open = 0;  // a piece was lost
+    if (s.outstanding > 0 && now - s.requestedAt >= kPieceTimeoutNs) {
+      if (s.received == 0) backOff(s, now);
+      s.outstanding = 0;  // the rest of the run was lost
     }
-    open += s.open > 0;
+    runs += s.outstanding > 0;
   }
-  for (std::size_t i = 0; i < sources_.size() && open < kAtOnce; ++i) {
-    auto& s = sources_[next_++ % sources_.size()];
-    if (s.open > 0 || now < s.notBefore) continue;
-    if (!askOf(s, now, out)) break;
-    ++open;
+  for (std::size_t i = 0; i < sources_.size() && runs < kMaxParallelRuns; ++i) {
+    auto& s = sources_[nextSource_++ % sources_.size()];
+    if (s.outstanding > 0 || now < s.notBefore) continue;
+    if (!requestRun(s, now, out)) break;
+    ++runs;
   }
   return out;
 }
 
-bool Fetch::take(const std::string& from, Piece piece, Nanos now) {
+bool Fetch::addPiece(const std::string& from, Piece piece, Nanos now) {
   if (piece.hash != offer_.hash || piece.number != offer_.number || piece.index >= pieces_.size())
     return false;
   auto& place = pieces_[piece.index];
@@ -82,23 +85,24 @@
   const std::size_t size = last ? offer_.size - piece.index * pieceBytes_ : pieceBytes_;
   if (!place.empty() || piece.bytes.size() != size) return false;
   place = std::move(piece.bytes);
-  ++have_;
+  ++received_;
   progressAt_ = now;
   auto* source = find(from);
   if (source) {
-    source->wait = kBusy, source->answered = true;
-    ++source->got;
-    if (source->open > 0) --source->open;
+    source->backoff = kBusyBackoffNs;
+    source->answered = true;
+    ++source->received;
+    if (source->outstanding > 0) --source->outstanding;
   }
   return true;
 }
 
-void Fetch::nothing(const std::string& from, bool busy, Nanos now) {
+void Fetch::onUnavailable(const std::string& from, bool busy, Nanos now) {
   auto* source = find(from);
   if (!source) return;
   source->answered = source->answered || busy;
-  if (!busy) source->wait = std::max(source->wait, kWithout);  // it may have it later
-  leaveAlone(*source, now);
+  if (!busy) source->backoff = std::max(source->backoff, kMissingBackoffNs);  // it may get the snapshot later
+  backOff(*source, now);
 }
 
 bool Fetch::answeredBy(const std::string& source) {
--- a/src/dissemination/messages.cpp
+++ b/src/dissemination/messages.cpp
@@ -1,3 +1,4 @@
+// Encoding and decoding of the dissemination messages.
 #include "dissemination/messages.hpp"
 
 #include <xxhash.h>
@@ -9,10 +10,10 @@
 
 namespace topazweir::dissemination {
 
-// Fields as they are read, by their places. Fewer than these are broken, where the library by itself reads
-// nought for what is missing; what a later version puts behind them is passed over.
+// Positional fields of a message. An array with fewer elements is malformed, whereas msgpack-c alone would
+// decode missing fields as zero; additional elements, which later versions may append, are ignored.
 template <class Fields>
-struct Known {
+struct Positional {
   Fields fields;
 };
 
@@ -23,9 +24,9 @@
   namespace adaptor {
 
   template <class Fields>
-  struct convert<topazweir::dissemination::Known<Fields>> {
+  struct convert<topazweir::dissemination::Positional<Fields>> {
     const msgpack::object& operator()(const msgpack::object& from,
-                                      topazweir::dissemination::Known<Fields>& to) const {
+                                      topazweir::dissemination::Positional<Fields>& to) const {
       if (from.type != msgpack::type::ARRAY || from.via.array.size < std::tuple_size_v<Fields>)
         throw msgpack::type_error();
       return from.convert(to.fields), from;
@@ -40,10 +41,10 @@
 
 namespace {
 
-constexpr std::size_t kHead = 5;  // kind, checksum
-constexpr std::size_t kMostName = 256;
+constexpr std::size_t kHeaderBytes = 5;  // kind (1), checksum (4)
+constexpr std::size_t kMaxNameBytes = 256;
 
-using BeatFields = std::tuple<std::uint64_t, std::uint32_t, std::uint32_t, std::uint16_t>;
+using HeartbeatFields = std::tuple<std::uint64_t, std::uint32_t, std::uint32_t, std::uint16_t>;
 using ChangesFields = std::tuple<std::uint64_t, std::uint64_t, std::vector<std::string>>;
 using SlowestFields = std::tuple<std::string, std::uint64_t, std::uint64_t>;
 template <class Slowest>
@@ -51,9 +52,10 @@
                             std::uint64_t, std::uint64_t, std::uint64_t, std::uint64_t, std::vector<Slowest>>;
 using ReportFields = ReportOf<SlowestFields>;
 using OfferFields = std::tuple<std::uint64_t, std::uint64_t, std::uint64_t, std::uint64_t, std::uint64_t>;
-using AskFields = std::tuple<std::uint64_t, std::uint64_t, std::uint32_t, std::uint32_t, std::uint32_t>;
+using PieceRequestFields =
+    std::tuple<std::uint64_t, std::uint64_t, std::uint32_t, std::uint32_t, std::uint32_t>;
 using PieceFields = std::tuple<std::uint64_t, std::uint64_t, std::uint32_t, std::string>;
-using NothingFields = std::tuple<std::uint64_t, bool>;
+using UnavailableFields = std::tuple<std::uint64_t, bool>;
 
 std::uint32_t checksum(Kind kind, std::string_view body) {
   return static_cast<std::uint32_t>(
@@ -61,7 +63,7 @@
 }
 
 template <class Fields>
-std::string frame(Kind kind, const Fields& fields) {
+std::string encode(Kind kind, const Fields& fields) {
   const std::string body = agreement::pack(fields);
   const std::uint32_t sum = checksum(kind, body);
   std::string out(1, static_cast<char>(kind));
@@ -70,91 +72,95 @@
 }
 
 template <class Fields>
-std::optional<Fields> fields(std::string_view bytes) {
-  auto read = agreement::unpack<Known<Fields>>(bytes.substr(kHead), kMostMessage);
+std::optional<Fields> decode(std::string_view bytes) {
+  auto read = agreement::unpack<Positional<Fields>>(bytes.substr(kHeaderBytes), kMaxMessageBytes);
   return read ? std::optional(std::move(read->fields)) : std::nullopt;
 }
 
 }  // namespace
 
 std::optional<Kind> kindOf(std::string_view bytes) {
-  if (bytes.size() <= kHead || bytes.size() > kMostMessage) return std::nullopt;
+  if (bytes.size() <= kHeaderBytes || bytes.size() > kMaxMessageBytes) return std::nullopt;
   const auto kind = static_cast<Kind>(bytes[0]);
-  if (kind < Kind::beat || kind > Kind::counts) return std::nullopt;
+  if (kind < Kind::heartbeat || kind > Kind::counts) return std::nullopt;
   std::uint32_t sum = 0;
   for (int i = 0; i < 4; ++i)
     sum |= static_cast<std::uint32_t>(static_cast<unsigned char>(bytes[static_cast<std::size_t>(1 + i)]))
            << (8 * i);
-  if (sum != checksum(kind, bytes.substr(kHead))) return std::nullopt;
+  if (sum != checksum(kind, bytes.substr(kHeaderBytes))) return std::nullopt;
   return kind;
 }
 
-std::string write(const Beat& m) { return frame(Kind::beat, BeatFields(m.number, m.mark, m.age, m.every)); }
+std::string write(const Heartbeat& m) {
+  return encode(Kind::heartbeat, HeartbeatFields(m.number, m.mark, m.age, m.every));
+}
 std::string write(const Changes& m) {
-  return frame(Kind::changes, ChangesFields(m.from, m.digest, m.commands));
+  return encode(Kind::changes, ChangesFields(m.from, m.digest, m.commands));
 }
 std::string write(const Report& m, Kind kind) {
-  return frame(kind, ReportFields(m.flags, m.generation, m.number, m.digest, m.early, m.members,
-                                  m.lowGeneration, m.lowNumber, m.level, m.slowest));
+  return encode(kind, ReportFields(m.flags, m.generation, m.number, m.digest, m.firstOutOfOrder, m.members,
+                                   m.lowGeneration, m.lowNumber, m.level, m.slowest));
 }
 std::string write(const Offer& m) {
-  return frame(Kind::offer, OfferFields(m.generation, m.number, m.digest, m.hash, m.size));
+  return encode(Kind::offer, OfferFields(m.generation, m.number, m.digest, m.hash, m.size));
 }
-std::string write(const Ask& m) {
-  return frame(Kind::ask, AskFields(m.number, m.hash, m.pieceBytes, m.first, m.count));
+std::string write(const PieceRequest& m) {
+  return encode(Kind::pieceRequest, PieceRequestFields(m.number, m.hash, m.pieceBytes, m.first, m.count));
 }
 std::string write(const Piece& m) {
-  return frame(Kind::piece, PieceFields(m.number, m.hash, m.index, m.bytes));
+  return encode(Kind::piece, PieceFields(m.number, m.hash, m.index, m.bytes));
+}
+std::string write(const Unavailable& m) {
+  return encode(Kind::unavailable, UnavailableFields(m.hash, m.busy));
 }
-std::string write(const Nothing& m) { return frame(Kind::nothing, NothingFields(m.hash, m.busy)); }
-std::string writeBare(Kind kind) { return frame(kind, std::tuple<std::uint8_t>(0)); }
+std::string writeBare(Kind kind) { return encode(kind, std::tuple<std::uint8_t>(0)); }
 
-std::optional<Beat> readBeat(std::string_view bytes) {
-  const auto f = fields<BeatFields>(bytes);
+std::optional<Heartbeat> readHeartbeat(std::string_view bytes) {
+  const auto f = decode<HeartbeatFields>(bytes);
   if (!f) return std::nullopt;
-  return Beat{std::get<0>(*f), std::get<1>(*f), std::get<2>(*f), std::get<3>(*f)};
+  return Heartbeat{std::get<0>(*f), std::get<1>(*f), std::get<2>(*f), std::get<3>(*f)};
 }
 
 std::optional<Changes> readChanges(std::string_view bytes) {
-  auto f = fields<ChangesFields>(bytes);
+  auto f = decode<ChangesFields>(bytes);
   if (!f || std::get<2>(*f).empty()) return std::nullopt;
   return Changes{std::get<0>(*f), std::get<1>(*f), std::move(std::get<2>(*f))};
 }
 
 std::optional<Report> readReport(std::string_view bytes) {
-  const auto f = fields<ReportOf<Known<SlowestFields>>>(bytes);
-  if (!f || std::get<9>(*f).size() > kSlowest) return std::nullopt;
+  const auto f = decode<ReportOf<Positional<SlowestFields>>>(bytes);
+  if (!f || std::get<9>(*f).size() > kMaxSlowest) return std::nullopt;
   Report out{std::get<0>(*f), std::get<1>(*f), std::get<2>(*f), std::get<3>(*f), std::get<4>(*f),
              std::get<5>(*f), std::get<6>(*f), std::get<7>(*f), std::get<8>(*f), {}};
   for (const auto& slowest : std::get<9>(*f)) {
-    if (std::get<0>(slowest.fields).size() > kMostName) return std::nullopt;
+    if (std::get<0>(slowest.fields).size() > kMaxNameBytes) return std::nullopt;
     out.slowest.push_back(slowest.fields);
   }
   return out;
 }
 
 std::optional<Offer> readOffer(std::string_view bytes) {
-  const auto f = fields<OfferFields>(bytes);
+  const auto f = decode<OfferFields>(bytes);
   if (!f) return std::nullopt;
   return Offer{std::get<0>(*f), std::get<1>(*f), std::get<2>(*f), std::get<3>(*f), std::get<4>(*f)};
 }
 
-std::optional<Ask> readAsk(std::string_view bytes) {
-  const auto f = fields<AskFields>(bytes);
+std::optional<PieceRequest> readPieceRequest(std::string_view bytes) {
+  const auto f = decode<PieceRequestFields>(bytes);
   if (!f) return std::nullopt;
-  return Ask{std::get<0>(*f), std::get<1>(*f), std::get<2>(*f), std::get<3>(*f), std::get<4>(*f)};
+  return PieceRequest{std::get<0>(*f), std::get<1>(*f), std::get<2>(*f), std::get<3>(*f), std::get<4>(*f)};
 }
 
 std::optional<Piece> readPiece(std::string_view bytes) {
-  auto f = fields<PieceFields>(bytes);
-  if (!f || std::get<3>(*f).size() > Ask::kMostPiece) return std::nullopt;
+  auto f = decode<PieceFields>(bytes);
+  if (!f || std::get<3>(*f).size() > PieceRequest::kMaxPieceBytes) return std::nullopt;
   return Piece{std::get<0>(*f), std::get<1>(*f), std::get<2>(*f), std::move(std::get<3>(*f))};
 }
 
-std::optional<Nothing> readNothing(std::string_view bytes) {
-  const auto f = fields<NothingFields>(bytes);
+std::optional<Unavailable> readUnavailable(std::string_view bytes) {
+  const auto f = decode<UnavailableFields>(bytes);
   if (!f) return std::nullopt;
-  return Nothing{std::get<0>(*f), std::get<1>(*f)};
+  return Unavailable{std::get<0>(*f), std::get<1>(*f)};
 }
 
 }  // namespace topazweir::dissemination
--- a/src/dissemination/parents.cpp
+++ b/src/dissemination/parents.cpp
@@ -1,21 +1,23 @@
+// State machine of the parent selection.
 #include "dissemination/parents.hpp"
 
 #include <algorithm>
 
 namespace topazweir::dissemination {
 
-using Kind = Parents::Word::Kind;
+using Kind = Parents::Action::Kind;
 
-void Parents::plan(const Tree& tree, Nanos now) {
+void Parents::setTree(const Tree& tree, Nanos now) {
   candidates_ = tree.candidates;
   preferred_ = tree.preferred;
   relays_ = tree.relays;
-  below_ = tree.top - tree.level;
-  // Not put off by each change of the view: in a roll of all they come faster than that.
-  homeAt_ = std::min(homeAt_, now + jitter(2 * kSec));
+  levelsBelowTop_ = tree.top - tree.level;
+  // Only ever moved forward: during a rolling restart, view changes come faster than this timer and would
+  // postpone it for ever.
+  preferredProbeAt_ = std::min(preferredProbeAt_, now + jitter(2 * kSec));
   tryAt_ = std::min(tryAt_, now);
-  std::erase_if(avoided_, [&](const auto& a) { return a.second <= now; });
-  std::erase_if(refused_, [&](const auto& a) { return a.second <= now; });
+  std::erase_if(avoidedUntil_, [&](const auto& a) { return a.second <= now; });
+  std::erase_if(refusedUntil_, [&](const auto& a) { return a.second <= now; });
 }
 
 bool Parents::avoids(const std::string& name, Nanos now) const {
@@ -23,7 +25,7 @@
     const auto at = of.find(name);
     return at != of.end() && at->second > now;
   };
-  return until(avoided_) || until(refused_);
+  return until(avoidedUntil_) || until(refusedUntil_);
 }
 
 Nanos Parents::jitter(Nanos wait) {
@@ -36,11 +38,11 @@
 }
 
 Nanos Parents::parentAge(Nanos now) const {
-  return age_ >= kNeverVouched ? kNeverVouched : age_ + (now - ageAt_);
+  return age_ >= kNeverConfirmedNs ? kNeverConfirmedNs : age_ + (now - ageAt_);
 }
 
-// The first candidate that isn't avoided; empty: none is left.
-std::string Parents::next(Nanos now, bool preferredOnly) {
+// The first candidate that is neither the parent nor avoided; empty: none is left.
+std::string Parents::nextCandidate(Nanos now, bool preferredOnly) {
   const std::size_t end = preferredOnly ? preferred_ : candidates_.size();
   for (std::size_t i = 0; i < end; ++i) {
     const auto& name = candidates_[i];
@@ -49,154 +51,167 @@
   return {};
 }
 
-void Parents::tryNext(Nanos now, Words& words) {
-  trying_ = next(now, false);
-  if (!trying_.empty()) {
+void Parents::tryNext(Nanos now, Actions& actions) {
+  pendingParent_ = nextCandidate(now, false);
+  if (!pendingParent_.empty()) {
     triedAt_ = now;
-    words.push_back({urgent_ ? Kind::urgent : Kind::subscribe, trying_});
+    actions.push_back({urgent_ ? Kind::subscribeUrgently : Kind::subscribe, pendingParent_});
     return;
   }
-  // All have been tried: again from the first one, later each time.
-  if (urgent_) avoided_.clear();
-  refused_.clear();
-  wait_ = urgent_ ? std::min(kMostWait, std::max(2 * wait_, 250 * kMs)) : 20 * kMs;
+  // All candidates have been tried: start over with exponential backoff.
+  if (urgent_) avoidedUntil_.clear();
+  refusedUntil_.clear();
+  backoff_ = urgent_ ? std::min(kMaxBackoffNs, std::max(2 * backoff_, 250 * kMs)) : 20 * kMs;
   urgent_ = true;
-  tryAt_ = now + jitter(wait_);
+  tryAt_ = now + jitter(backoff_);
 }
 
-void Parents::look(Nanos now, Words& words) {
-  std::erase_if(looked_, [&](const auto& l) { return now - l.second > kSec; });
-  // The voters are few, and those above look there first.
-  const bool voters = relays_ == 0 || below_ <= 1 || looks_ % kVotersLook == kVotersLook - 1;
-  ++looks_;
+void Parents::probeCandidates(Nanos now, Actions& actions) {
+  std::erase_if(probedAt_, [&](const auto& l) { return now - l.second > kSec; });
+  // Voters are few and are probed by the upper levels first; other members probe them in some rounds only.
+  const bool voters =
+      relays_ == 0 || levelsBelowTop_ <= 1 || probeRounds_ % kVoterProbeRound == kVoterProbeRound - 1;
+  ++probeRounds_;
   const std::size_t end = voters ? candidates_.size() : relays_;
-  std::size_t asked = 0;
-  for (std::size_t i = 0; i < end && asked < kLooks; ++i) {
-    const auto& name = candidates_[lookNext_++ % end];
+  std::size_t sent = 0;
+  for (std::size_t i = 0; i < end && sent < kProbesPerRound; ++i) {
+    const auto& name = candidates_[nextProbed_++ % end];
     if (name == parent_) continue;
-    looked_[name] = now;
-    words.push_back({Kind::look, name});
-    ++asked;
+    probedAt_[name] = now;
+    actions.push_back({Kind::probe, name});
+    ++sent;
   }
 }
 
-Parents::Words Parents::tick(Nanos now) {
-  Words words;
-  if (!trying_.empty() && now - triedAt_ >= kAnswerWithin) {
-    avoided_[trying_] = now + kAvoided;
-    words.push_back({Kind::bye, trying_});
-    trying_.clear();
+Parents::Actions Parents::tick(Nanos now) {
+  Actions actions;
+  if (!pendingParent_.empty() && now - triedAt_ >= kAnswerTimeoutNs) {
+    avoidedUntil_[pendingParent_] = now + kAvoidUnresponsiveNs;
+    actions.push_back({Kind::unsubscribe, pendingParent_});
+    pendingParent_.clear();
     tryAt_ = now;
   }
   if (!parent_.empty()) {
     const Nanos silence = now - heardAt_;
-    if (silence > std::max(silentAfter_, every_ + 400 * kMs)) {
-      leave(now, words, kAvoided);
-    } else if (silence > every_ + 80 * kMs && now - askedAt_ >= 150 * kMs) {
-      askedAt_ = now;
-      words.push_back({Kind::ask, parent_});
+    if (silence > std::max(parentTimeout_, heartbeatInterval_ + 400 * kMs)) {
+      leave(now, actions, kAvoidUnresponsiveNs);
+    } else if (silence > heartbeatInterval_ + 80 * kMs && now - renewedAt_ >= 150 * kMs) {
+      renewedAt_ = now;
+      actions.push_back({Kind::renew, parent_});
     }
   }
-  if (parent_.empty() && trying_.empty() && now >= tryAt_) tryNext(now, words);
-  if (parent_.empty()) return words;
+  if (parent_.empty() && pendingParent_.empty() && now >= tryAt_) tryNext(now, actions);
+  if (parent_.empty()) return actions;
   if (parentAge(now) > staleAfter_) {
     if (staleSince_ == 0) {
-      staleSince_ = now, lookWait_ = 250 * kMs, lookNext_ = looks_ = 0;
-      lookAt_ = now + static_cast<Nanos>(std::min<std::size_t>(below_, 3)) * kPatience;
+      staleSince_ = now;
+      probeBackoff_ = 250 * kMs;
+      nextProbed_ = 0;
+      probeRounds_ = 0;
+      probeAt_ = now + static_cast<Nanos>(std::min<std::size_t>(levelsBelowTop_, 3)) * kProbeDelayPerLevelNs;
     }
-    if (now >= lookAt_) {
-      look(now, words);
-      lookAt_ = now + jitter(lookWait_);
-      lookWait_ = std::min(kMostWait, 2 * lookWait_);
+    if (now >= probeAt_) {
+      probeCandidates(now, actions);
+      probeAt_ = now + jitter(probeBackoff_);
+      probeBackoff_ = std::min(kMaxBackoffNs, 2 * probeBackoff_);
     }
-    return words;
+    return actions;
   }
   staleSince_ = 0;
-  if (preferred_ > 0 && now >= homeAt_) {
-    homeAt_ = now + jitter(6 * kSec);
-    const auto home = preferred(parent_) ? std::string() : next(now, true);
-    if (!home.empty()) {
-      looked_[home] = now;
-      words.push_back({Kind::look, home});
-      refused_[home] = now + 5 * kSec;  // the next time another one, if this one does not answer
+  if (preferred_ > 0 && now >= preferredProbeAt_) {
+    preferredProbeAt_ = now + jitter(6 * kSec);
+    const auto preferredCandidate = preferred(parent_) ? std::string() : nextCandidate(now, true);
+    if (!preferredCandidate.empty()) {
+      probedAt_[preferredCandidate] = now;
+      actions.push_back({Kind::probe, preferredCandidate});
+      // If this one does not answer, the next probe goes to another one.
+      refusedUntil_[preferredCandidate] = now + 5 * kSec;
     }
   }
-  return words;
+  return actions;
 }
 
-bool Parents::heard(const std::string& from, Nanos now, Words& words) {
+bool Parents::onMessage(const std::string& from, Nanos now, Actions& actions) {
   if (from == parent_) {
     heardAt_ = now;
     return true;
   }
-  if (from != trying_ || from.empty()) return false;
-  if (!parent_.empty()) words.push_back({Kind::bye, parent_});
+  if (from != pendingParent_ || from.empty()) return false;
+  if (!parent_.empty()) actions.push_back({Kind::unsubscribe, parent_});
   parent_ = from;
-  trying_.clear();
-  heardAt_ = askedAt_ = now;
-  every_ = silentAfter_ / 2;
-  age_ = kNeverVouched, staleSince_ = 0;
-  wait_ = 0, urgent_ = false;
-  homeAt_ = now + jitter(8 * kSec);
+  pendingParent_.clear();
+  heardAt_ = now;
+  renewedAt_ = now;
+  heartbeatInterval_ = parentTimeout_ / 2;
+  age_ = kNeverConfirmedNs;
+  staleSince_ = 0;
+  backoff_ = 0;
+  urgent_ = false;
+  preferredProbeAt_ = now + jitter(8 * kSec);
   return true;
 }
 
-bool Parents::beat(const std::string& from, Nanos age, Nanos every, Nanos now, Words& words) {
-  if (heard(from, now, words)) {
-    age_ = age, ageAt_ = now;
-    every_ = std::clamp<Nanos>(every, 50 * kMs, 10 * kSec);
+bool Parents::onHeartbeat(const std::string& from, Nanos age, Nanos interval, Nanos now, Actions& actions) {
+  if (onMessage(from, now, actions)) {
+    age_ = age;
+    ageAt_ = now;
+    heartbeatInterval_ = std::clamp<Nanos>(interval, 50 * kMs, 10 * kSec);
     if (age <= staleAfter_) staleSince_ = 0;
     return true;
   }
-  const auto at = looked_.find(from);
-  if (at == looked_.end() || now - at->second > kSec) return false;
-  looked_.erase(at);
+  const auto at = probedAt_.find(from);
+  if (at == probedAt_.end() || now - at->second > kSec) return false;
+  probedAt_.erase(at);
   if (parent_.empty()) return false;
-  const Nanos parents = parentAge(now);
-  const bool fresher = parents > staleAfter_ && age < kNeverVouched && age + kFresher < parents;
-  const bool home = preferred(from) && !preferred(parent_) && age <= staleAfter_;
-  if (!fresher && !home) return false;
-  words.push_back({Kind::bye, parent_});
-  if (fresher) ++left_;
+  const Nanos currentAge = parentAge(now);
+  const bool fresher =
+      currentAge > staleAfter_ && age < kNeverConfirmedNs && age + kMinFreshnessGainNs < currentAge;
+  const bool closer = preferred(from) && !preferred(parent_) && age <= staleAfter_;
+  if (!fresher && !closer) return false;
+  actions.push_back({Kind::unsubscribe, parent_});
+  if (fresher) ++parentsLeft_;
   parent_ = from;
-  trying_.clear();
-  words.push_back({Kind::subscribe, from});
-  heardAt_ = askedAt_ = now;
-  every_ = std::clamp<Nanos>(every, 50 * kMs, 10 * kSec);
-  age_ = age, ageAt_ = now, staleSince_ = 0;
+  pendingParent_.clear();
+  actions.push_back({Kind::subscribe, from});
+  heardAt_ = now;
+  renewedAt_ = now;
+  heartbeatInterval_ = std::clamp<Nanos>(interval, 50 * kMs, 10 * kSec);
+  age_ = age;
+  ageAt_ = now;
+  staleSince_ = 0;
   return true;
 }
 
-void Parents::refused(const std::string& from, Nanos now, Words& words) {
-  looked_.erase(from);
-  if (from.empty() || (from != parent_ && from != trying_)) return;
-  refused_[from] = now + kAvoided / 2;
-  if (from == trying_) trying_.clear();
-  // Those that keep some room for who finds none elsewhere are to take this one now.
-  if (!urgent_ && refused_.size() >= kRefusals) {
+void Parents::onRefused(const std::string& from, Nanos now, Actions& actions) {
+  probedAt_.erase(from);
+  if (from.empty() || (from != parent_ && from != pendingParent_)) return;
+  refusedUntil_[from] = now + kAvoidUnresponsiveNs / 2;
+  if (from == pendingParent_) pendingParent_.clear();
+  // From now on, members use the slots that they keep for those that find no other parent.
+  if (!urgent_ && refusedUntil_.size() >= kRefusalsUntilUrgent) {
     urgent_ = true;
-    refused_.clear();
+    refusedUntil_.clear();
   }
   if (from == parent_) {
     parent_.clear();
-    ++left_;
+    ++parentsLeft_;
   }
-  if (parent_.empty() && trying_.empty()) tryNext(now, words);
+  if (parent_.empty() && pendingParent_.empty()) tryNext(now, actions);
 }
 
-void Parents::leave(Nanos now, Words& words, Nanos avoid) {
+void Parents::leave(Nanos now, Actions& actions, Nanos avoid) {
   if (parent_.empty()) return;
-  words.push_back({Kind::bye, parent_});
-  avoided_[parent_] = now + avoid;
+  actions.push_back({Kind::unsubscribe, parent_});
+  avoidedUntil_[parent_] = now + avoid;
   parent_.clear();
-  ++left_;
+  ++parentsLeft_;
   tryAt_ = now;
-  if (trying_.empty()) tryNext(now, words);
+  if (pendingParent_.empty()) tryNext(now, actions);
 }
 
-void Parents::stoodStill(Nanos time, Nanos now) {
-  heardAt_ = std::min(now, heardAt_ + time);
-  triedAt_ = std::min(now, triedAt_ + time);
+void Parents::onStall(Nanos duration, Nanos now) {
+  heardAt_ = std::min(now, heardAt_ + duration);
+  triedAt_ = std::min(now, triedAt_ + duration);
 }
 
 }  // namespace topazweir::dissemination
--- a/src/dissemination/replica.cpp
+++ b/src/dissemination/replica.cpp
@@ -1,3 +1,4 @@
+// Applying changes, the log tail and the snapshots of a replica.
 #include "dissemination/replica.hpp"
 
 #include <xxhash.h>
@@ -9,8 +10,9 @@
 namespace {
 
 constexpr Nanos kSec = 1'000'000'000;
-constexpr Nanos kKeptAfterAsked = 30 * kSec;  // an older snapshot that somebody is still fetching
-constexpr std::size_t kChangeOverhead = 64;   // bytes that a change of the tail costs beside its command
+// The older snapshot is kept for so long after the last request, for members that are still downloading it.
+constexpr Nanos kOldSnapshotRetentionNs = 30 * kSec;
+constexpr std::size_t kChangeOverheadBytes = 64;  // memory of a tail entry besides its command
 
 std::uint64_t hashOf(const std::string& key, const agreement::Register::Held& held) {
   const auto first = XXH3_64bits_withSeed(key.data(), key.size(), held.fence);
@@ -38,7 +40,7 @@
 
 std::uint64_t Replica::hashOf(std::string_view bytes) { return XXH3_64bits(bytes.data(), bytes.size()); }
 
-void Replica::place() {
+void Replica::updatePosition() {
   position_ = positionOf(held_);
   const std::uint64_t words[] = {position_.generation, position_.number, digest_};
   mark_ = static_cast<std::uint32_t>(XXH3_64bits(words, sizeof words));
@@ -47,7 +49,7 @@
 bool Replica::apply(const std::vector<agreement::Command>& commands, std::optional<std::uint64_t> digest) {
   std::vector<std::optional<agreement::Register::Held>> before;
   std::vector<Change> changes;
-  std::optional<Frozen> crossed;
+  std::optional<Snapshot> newSnapshot;
   const std::uint64_t digestBefore = digest_;
   for (const auto& command : commands) {
     const auto* was = held_.find(command.key);
@@ -58,34 +60,35 @@
     }
     changes.push_back({agreement::writeCommand(command), digest_, 0});
     if (held_.commands() % limits_.snapshotEvery == 0) {
-      place();
-      crossed = freeze();
+      updatePosition();
+      newSnapshot = makeSnapshot();
     }
   }
   if (digest && digest_ != *digest) {
     for (std::size_t i = commands.size(); i-- > 0;) held_.takeBack(commands[i].key, std::move(before[i]));
     digest_ = digestBefore;
-    place();
+    updatePosition();
     return false;
   }
   for (auto& change : changes) {
     change.bytesBefore = bytes_;
-    bytes_ += change.command.size() + kChangeOverhead;
+    bytes_ += change.command.size() + kChangeOverheadBytes;
     tail_.push_back(std::move(change));
   }
-  place();
+  updatePosition();
   trim();
-  if (crossed) keep(std::move(*crossed));
+  if (newSnapshot) keep(std::move(*newSnapshot));
   return true;
 }
 
 void Replica::replace(agreement::Register whole) {
   held_ = std::move(whole);
   digest_ = digestOf(held_);
-  place();
+  updatePosition();
   tail_.clear();
-  frozen_.clear();
-  base_ = position_.number, baseDigest_ = digest_;
+  snapshots_.clear();
+  base_ = position_.number;
+  baseDigest_ = digest_;
 }
 
 bool Replica::restore(std::string bytes, const Position& at, std::uint64_t hash) {
@@ -117,37 +120,39 @@
   return number >= position_.number || number < base_ ? 0 : bytes_ - tail_[number - base_].bytesBefore;
 }
 
-Replica::Frozen Replica::freeze() const {
-  Frozen out{position_, digest_, 0, held_.write(), 0};
+Replica::Snapshot Replica::makeSnapshot() const {
+  Snapshot out{position_, digest_, 0, held_.write(), 0};
   out.hash = hashOf(out.bytes);
   return out;
 }
 
-void Replica::keep(Frozen frozen) {
-  if (!frozen_.empty() && frozen_.back().at == frozen.at && frozen_.back().hash == frozen.hash) return;
-  frozen_.push_back(std::move(frozen));
-  if (frozen_.size() > 2) frozen_.pop_front();
-  if (frozen_.size() == 2 && frozen_.front().askedAt == 0) frozen_.pop_front();
+void Replica::keep(Snapshot snapshot) {
+  if (!snapshots_.empty() && snapshots_.back().at == snapshot.at && snapshots_.back().hash == snapshot.hash)
+    return;
+  snapshots_.push_back(std::move(snapshot));
+  if (snapshots_.size() > 2) snapshots_.pop_front();
+  if (snapshots_.size() == 2 && snapshots_.front().requestedAt == 0) snapshots_.pop_front();
 }
 
-const Replica::Frozen* Replica::frozenBeyond(const Position& from, Nanos now) {
-  if (!frozen_.empty() && frozen_.back().at > from && frozen_.back().at.number >= base_) {
-    frozen_.back().askedAt = now;
-    return &frozen_.back();
+const Replica::Snapshot* Replica::snapshotBeyond(const Position& from, Nanos now) {
+  if (!snapshots_.empty() && snapshots_.back().at > from && snapshots_.back().at.number >= base_) {
+    snapshots_.back().requestedAt = now;
+    return &snapshots_.back();
   }
-  if (madeAt_ != 0 && now - madeAt_ < kSec) return nullptr;
-  madeAt_ = now;
-  keep(freeze());
-  frozen_.back().askedAt = now;
-  return &frozen_.back();
+  if (snapshotMadeAt_ != 0 && now - snapshotMadeAt_ < kSec) return nullptr;
+  snapshotMadeAt_ = now;
+  keep(makeSnapshot());
+  snapshots_.back().requestedAt = now;
+  return &snapshots_.back();
 }
 
-const Replica::Frozen* Replica::frozen(std::uint64_t number, std::uint64_t hash, Nanos now) {
-  if (frozen_.size() == 2 && now - frozen_.front().askedAt > kKeptAfterAsked) frozen_.pop_front();
-  for (auto& f : frozen_)
-    if (f.at.number == number && f.hash == hash) {
-      f.askedAt = now;
-      return &f;
+const Replica::Snapshot* Replica::findSnapshot(std::uint64_t number, std::uint64_t hash, Nanos now) {
+  if (snapshots_.size() == 2 && now - snapshots_.front().requestedAt > kOldSnapshotRetentionNs)
+    snapshots_.pop_front();
+  for (auto& snapshot : snapshots_)
+    if (snapshot.at.number == number && snapshot.hash == hash) {
+      snapshot.requestedAt = now;
+      return &snapshot;
     }
   return nullptr;
 }
--- a/src/dissemination/tree.cpp
+++ b/src/dissemination/tree.cpp
@@ -1,3 +1,4 @@
+// Rank-based relay selection and rendezvous hashing of candidates.
 #include "dissemination/tree.hpp"
 
 #include <xxhash.h>
@@ -21,40 +22,42 @@
   return XXH3_64bits_withSeed(name.data(), name.size(), seed);
 }
 
-bool among(const std::vector<std::string>& names, std::string_view name) {
+bool contains(const std::vector<std::string>& names, std::string_view name) {
   return std::find(names.begin(), names.end(), name) != names.end();
 }
 
-// At most `most` of the names in the order of rendezvous with `self`.
-void rendezvous(std::string_view self, std::vector<const std::string*> names, std::size_t most,
+// Appends at most `limit` of the names, without `self` and duplicates, ordered by rendezvous hashing with
+// `self`.
+void rendezvous(std::string_view self, std::vector<const std::string*> names, std::size_t limit,
                 std::vector<std::string>& out) {
   std::vector<Ranked> ranked;
   const auto seed = hashOf(self, 1);
   for (const auto* name : names)
     if (*name != self) ranked.push_back({hashOf(*name, seed), name});
-  const auto end = ranked.begin() + static_cast<std::ptrdiff_t>(std::min(most, ranked.size()));
+  const auto end = ranked.begin() + static_cast<std::ptrdiff_t>(std::min(limit, ranked.size()));
   std::partial_sort(ranked.begin(), end, ranked.end());
   for (auto at = ranked.begin(); at != end; ++at)
-    if (!among(out, *at->name)) out.push_back(*at->name);
+    if (!contains(out, *at->name)) out.push_back(*at->name);
 }
 
-// A zone's members by rank and how many of them relay at each level or above: sizes[0] is all of them.
 struct Zone {
-  std::vector<Ranked> members;
-  std::vector<std::size_t> sizes;
+  std::vector<Ranked> members;     // sorted by rank
+  std::vector<std::size_t> sizes;  // members at each level or above; sizes[0]: all of them
   std::size_t top() const { return sizes.size() - 1; }
   std::size_t levelOf(std::size_t rank) const {
     std::size_t level = 0;
     while (level + 1 < sizes.size() && rank < sizes[level + 1]) ++level;
     return level;
   }
-  // Those of exactly this level; of the top one: all that are left.
+  // The half-open range of ranks at exactly this level.
   std::pair<std::size_t, std::size_t> ranks(std::size_t level) const {
     return {level == top() ? 0 : sizes[level + 1], sizes[level]};
   }
 };
 
-std::size_t ceilOf(std::size_t a, std::size_t b) { return (a + b - 1) / std::max<std::size_t>(b, 1); }
+std::size_t ceilingOfQuotient(std::size_t dividend, std::size_t divisor) {
+  return (dividend + divisor - 1) / std::max<std::size_t>(divisor, 1);
+}
 
 }  // namespace
 
@@ -62,91 +65,92 @@
   return std::binary_search(children.begin(), children.end(), hashOf(child));
 }
 
-Tree Tree::of(const Settings& s, std::vector<Peer> view) {
+Tree Tree::of(const Settings& settings, std::vector<Peer> view) {
   Tree out;
-  const bool votes = s.votes || among(s.voters, s.self);
-  const std::size_t fanOut = std::max<std::size_t>(s.fanOut, 2);
-  const std::size_t voters = std::max<std::size_t>(s.voters.size(), 1);
-  if (std::none_of(view.begin(), view.end(), [&](const Peer& p) { return p.name == s.self; }))
-    view.push_back({s.self, s.zone, true});
-  std::vector<const std::string*> voterNames, deadVoters, named, namedHere;
+  const bool votes = settings.votes || contains(settings.voters, settings.self);
+  const std::size_t fanOut = std::max<std::size_t>(settings.fanOut, 2);
+  const std::size_t voters = std::max<std::size_t>(settings.voters.size(), 1);
+  if (std::none_of(view.begin(), view.end(), [&](const Peer& p) { return p.name == settings.self; }))
+    view.push_back({settings.self, settings.zone, true});
+  std::vector<const std::string*> liveVoters, deadVoters, configuredRelays, zoneRelays;
   std::map<std::string_view, Zone> zones;
   std::vector<Ranked> all;
-  for (const auto& voter : s.voters) {
+  for (const auto& voter : settings.voters) {
     const auto at = std::find_if(view.begin(), view.end(), [&](const Peer& p) { return p.name == voter; });
-    (at != view.end() && !at->alive ? deadVoters : voterNames).push_back(&voter);
+    (at != view.end() && !at->alive ? deadVoters : liveVoters).push_back(&voter);
   }
   for (const auto& peer : view) {
-    if (!peer.alive && peer.name != s.self) continue;
-    if (peer.name != s.self && among(s.relays, peer.name)) {
-      named.push_back(&peer.name);
-      if (peer.zone == s.zone) namedHere.push_back(&peer.name);
+    if (!peer.alive && peer.name != settings.self) continue;
+    if (peer.name != settings.self && contains(settings.relays, peer.name)) {
+      configuredRelays.push_back(&peer.name);
+      if (peer.zone == settings.zone) zoneRelays.push_back(&peer.name);
     }
-    if (among(s.voters, peer.name)) continue;
+    if (contains(settings.voters, peer.name)) continue;
     zones[peer.zone].members.push_back({hashOf(peer.name), &peer.name});
     all.push_back({hashOf(peer.name), &peer.name});
   }
-  const bool relaySelf = among(s.relays, s.self);
-  const auto votersToo = [&] {
+  const bool isRelay = contains(settings.relays, settings.self);
+  const auto addVoters = [&] {
     out.relays = out.candidates.size();
-    rendezvous(s.self, voterNames, voterNames.size(), out.candidates);
-    rendezvous(s.self, deadVoters, deadVoters.size(), out.candidates);
+    rendezvous(settings.self, liveVoters, liveVoters.size(), out.candidates);
+    rendezvous(settings.self, deadVoters, deadVoters.size(), out.candidates);
   };
-  const auto mayBeChildren = [&](const std::vector<Ranked>& of, std::size_t from, std::size_t to) {
+  const auto addChildren = [&](const std::vector<Ranked>& of, std::size_t from, std::size_t to) {
     for (; from < to; ++from) out.children.push_back(of[from].hash);
   };
 
-  auto& zone = zones[s.zone];
+  auto& zone = zones[settings.zone];
   std::sort(zone.members.begin(), zone.members.end());
-  std::vector<const std::string*> neighbours;
-  for (const auto& member : zone.members) neighbours.push_back(member.name);
-  rendezvous(s.self, neighbours, kMostSources, out.sources);
+  std::vector<const std::string*> zoneMembers;
+  for (const auto& member : zone.members) zoneMembers.push_back(member.name);
+  rendezvous(settings.self, zoneMembers, kMaxSources, out.sources);
 
-  if (!named.empty() || relaySelf) {
+  if (!configuredRelays.empty() || isRelay) {
     out.relaysNamed = true;
     out.top = 1;
-    out.level = relaySelf ? 1 : 0;
-    const std::size_t relays = named.size() + (relaySelf ? 1 : 0);
-    if (relaySelf) out.share = ceilOf(all.size(), relays);
-    if (votes && !relaySelf) out.share = ceilOf(relays, voters);
+    out.level = isRelay ? 1 : 0;
+    const std::size_t relays = configuredRelays.size() + (isRelay ? 1 : 0);
+    if (isRelay) out.share = ceilingOfQuotient(all.size(), relays);
+    if (votes && !isRelay) out.share = ceilingOfQuotient(relays, voters);
     for (const auto& member : all)
-      if (among(s.relays, *member.name) ? votes : relaySelf) out.children.push_back(member.hash);
-    if (!votes && !relaySelf) {
-      rendezvous(s.self, namedHere, kMostPreferred, out.candidates);
-      if (namedHere.empty()) rendezvous(s.self, named, kMostPreferred, out.candidates);
+      if (contains(settings.relays, *member.name) ? votes : isRelay) out.children.push_back(member.hash);
+    if (!votes && !isRelay) {
+      rendezvous(settings.self, zoneRelays, kMaxPreferred, out.candidates);
+      if (zoneRelays.empty()) rendezvous(settings.self, configuredRelays, kMaxPreferred, out.candidates);
       out.preferred = out.candidates.size();
-      rendezvous(s.self, named, kMostSecond, out.candidates);
+      rendezvous(settings.self, configuredRelays, kMaxSecond, out.candidates);
     }
-    if (!votes) votersToo();
-    if (relaySelf) out.preferred = out.candidates.size();
+    if (!votes) addVoters();
+    if (isRelay) out.preferred = out.candidates.size();
     std::sort(out.children.begin(), out.children.end());
     return out;
   }
 
   for (auto& [name, z] : zones) z.sizes = {z.members.size()};
-  const auto uppermost = [&] {
+  const auto topRelays = [&] {
     std::size_t sum = 0;
     for (const auto& [name, z] : zones) sum += z.sizes.back();
     return sum;
   };
-  // A level more in the zones where the uppermost are the most, until the voters have room.
-  while (uppermost() > voters * fanOut) {
-    std::size_t most = 0;
-    for (const auto& [name, z] : zones) most = std::max(most, z.sizes.back());
-    if (most <= 1) break;
+  // Adds a level in the zones with the most uppermost relays, until the voters have room for all of these.
+  while (topRelays() > voters * fanOut) {
+    std::size_t largest = 0;
+    for (const auto& [name, z] : zones) largest = std::max(largest, z.sizes.back());
+    if (largest <= 1) break;
     for (auto& [name, z] : zones)
-      if (z.sizes.back() == most) z.sizes.push_back(ceilOf(most, fanOut));
+      if (z.sizes.back() == largest) z.sizes.push_back(ceilingOfQuotient(largest, fanOut));
   }
 
   if (votes) {
-    out.level = 0, out.share = ceilOf(uppermost(), voters);
+    out.level = 0;
+    out.share = ceilingOfQuotient(topRelays(), voters);
     for (auto& [name, z] : zones) {
       std::sort(z.members.begin(), z.members.end());
-      mayBeChildren(z.members, 0, z.sizes.back());
+      addChildren(z.members, 0, z.sizes.back());
     }
   } else {
     std::size_t rank = 0;
-    while (*zone.members[rank].name != s.self) ++rank;
+    while (*zone.members[rank].name != settings.self) ++rank;
     out.top = zone.top();
     out.level = zone.levelOf(rank);
     const auto levelNames = [&](std::size_t level) {
@@ -154,24 +158,27 @@
       for (auto [i, end] = zone.ranks(level); i < end; ++i) names.push_back(zone.members[i].name);
       return names;
     };
-    if (out.level < out.top) rendezvous(s.self, levelNames(out.level + 1), kMostPreferred, out.candidates);
+    if (out.level < out.top)
+      rendezvous(settings.self, levelNames(out.level + 1), kMaxPreferred, out.candidates);
     out.preferred = out.candidates.size();
-    if (out.level + 1 < out.top) rendezvous(s.self, levelNames(out.level + 2), kMostSecond, out.candidates);
-    votersToo();
+    if (out.level + 1 < out.top)
+      rendezvous(settings.self, levelNames(out.level + 2), kMaxSecond, out.candidates);
+    addVoters();
     if (out.level == out.top) out.preferred = out.candidates.size();
     if (out.level > 0) {
       const auto [from, to] = zone.ranks(out.level - 1);
-      const auto [mineFrom, mineTo] = zone.ranks(out.level);
-      out.share = ceilOf(to - from, mineTo - mineFrom);
-      mayBeChildren(zone.members, from, to);
+      const auto [ownFrom, ownTo] = zone.ranks(out.level);
+      out.share = ceilingOfQuotient(to - from, ownTo - ownFrom);
+      addChildren(zone.members, from, to);
     }
-    // More zones than the voters have room for: their only relays take each other as a last resort.
-    if (out.level == out.top && uppermost() > 2 * voters * fanOut) {
+    // More zones than the voters have room for: relays of zones with a single uppermost relay take each other
+    // as parents as a last resort.
+    if (out.level == out.top && topRelays() > 2 * voters * fanOut) {
       std::vector<const std::string*> others;
       for (const auto& [name, z] : zones)
-        if (z.sizes.back() == 1 && name != s.zone)
+        if (z.sizes.back() == 1 && name != settings.zone)
           others.push_back(std::min_element(z.members.begin(), z.members.end())->name);
-      rendezvous(s.self, others, kMostSecond, out.candidates);
+      rendezvous(settings.self, others, kMaxSecond, out.candidates);
     }
   }
   std::sort(out.children.begin(), out.children.end());
--- a/src/membership/detector.hpp
+++ b/src/membership/detector.hpp
@@ -23,7 +23,7 @@
   std::size_t updateBytesPerMessage = 1100;  // of the 1,200 bytes that pass common links unfragmented
   std::size_t maxAmplification = 3;          // an answer is at most this many times the size of its request
   double retransmitFactor = 3;          // sends of each update: this times the natural log of the members
-  int worstHealth = 8;                  // maximum of the local health multiplier (Lifeguard)
+  int worstHealth = 8;                  // maximum of the local health score (Lifeguard)
   Nanos syncEvery = 30'000'000'000;     // mean interval of full exchanges with a random member or absent seed
   Nanos forgetAfter = 600'000'000'000;  // after which failed and left members are removed
   std::size_t maxMembers = 4096;        // records of further members are dropped
--- a/tests/dissemination_test.cpp
+++ b/tests/dissemination_test.cpp
@@ -1,5 +1,5 @@
-// How what the voters agreed on reaches every member: drawn schedules on a virtual clock under one checker, a
-// seeded mistake of each kind that the checker must find, broken bytes, and the fleet at its size.
+// Dissemination of the replicated register: random schedules on a virtual clock under one invariant checker,
+// injected faults of each kind that the checker must detect, malformed messages, and large fleets.
 #include <xxhash.h>
 
 #include <cmath>
@@ -26,26 +26,26 @@
   return {key, std::move(value), held ? held->fence : 0};
 }
 
-// A change of a drawn key: most are done, some fail (a stale fence), some take a key away.
-agreement::Command drawnChange(VirtualChanges& w, std::uint64_t keys, std::uint64_t bytes) {
-  const std::string key = "key/" + std::to_string(w.draw(keys));
-  const auto* held = w.truth().find(key);
-  agreement::Command c{key, std::string(bytes, static_cast<char>('a' + w.draw(std::uint64_t{26}))),
+// A change of a random key: most succeed, some fail (stale fence), some delete the key.
+agreement::Command randomChange(VirtualChanges& fleet, std::uint64_t keys, std::uint64_t bytes) {
+  const std::string key = "key/" + std::to_string(fleet.draw(keys));
+  const auto* held = fleet.truth().find(key);
+  agreement::Command c{key, std::string(bytes, static_cast<char>('a' + fleet.draw(std::uint64_t{26}))),
                        held ? held->fence : 0};
-  *c.value += std::to_string(w.now);
-  const auto kind = w.draw(std::uint64_t{10});
+  *c.value += std::to_string(fleet.now);
+  const auto kind = fleet.draw(std::uint64_t{10});
   if (kind == 0) c.expected += 1;
   if (kind == 1) c.value.reset();
   return c;
 }
 
-void begin(VirtualChanges& w, std::uint64_t generation) {
-  w.propose(put(w.truth(), kGenerationKey, std::to_string(generation)));
+void beginGeneration(VirtualChanges& fleet, std::uint64_t generation) {
+  fleet.propose(put(fleet.truth(), kGenerationKey, std::to_string(generation)));
 }
 
-struct Drawn {
+struct RandomOptions {
   VirtualChanges::Options options;
-  explicit Drawn(std::uint64_t seed) {
+  explicit RandomOptions(std::uint64_t seed) {
     std::mt19937_64 r(seed * 7919);
     auto& o = options;
     o.seed = seed;
@@ -60,127 +60,130 @@
     s.snapshotEvery = 1 + r() % 32;
     s.pieceBytes = 64 + r() % 300;
     if (r() % 5 == 0) s.bytesPerSecond = 1500, s.burstBytes = 64 * 1024, s.fanOut = 2 + r() % 2;
-    if (r() % 6 == 0) {  // two have all for their children, and bytes to match
+    if (r() % 6 == 0) {  // two dedicated relays serve all members, with a matching byte budget
       s.relays = {VirtualChanges::nameOf(o.voters), VirtualChanges::nameOf(o.voters + 1)};
       s.bytesPerSecond = 8192;
     }
   }
 };
 
-// One schedule: half a minute of changes under faults, then all is healed.
+// One random schedule: half a minute of changes under faults, then all faults are healed.
 struct Schedule {
-  explicit Schedule(std::uint64_t seed) : world(Drawn(seed).options), checker(world, true) {}
+  explicit Schedule(std::uint64_t seed) : fleet(RandomOptions(seed).options), checker(fleet, true) {}
   void play() {
-    auto& w = world;
-    const auto n = static_cast<std::uint64_t>(w.size());
-    w.startAll();
-    w.run(kSec);
-    if (w.draw(std::uint64_t{4})) begin(w, ++generation);
-    const std::uint64_t keys = 2 + w.draw(std::uint64_t{40});
+    const auto n = static_cast<std::uint64_t>(fleet.size());
+    fleet.startAll();
+    fleet.run(kSec);
+    if (fleet.draw(std::uint64_t{4})) beginGeneration(fleet, ++generation);
+    const std::uint64_t keys = 2 + fleet.draw(std::uint64_t{40});
     const double losses[] = {0, 0.01, 0.05, 0.2};
-    w.loss = losses[w.draw(std::uint64_t{4})];
-    if (w.draw(std::uint64_t{3}) == 0) w.doubled = 0.1;
-    if (w.draw(std::uint64_t{3}) == 0) w.altered = 0.05;
+    fleet.loss = losses[fleet.draw(std::uint64_t{4})];
+    if (fleet.draw(std::uint64_t{3}) == 0) fleet.doubled = 0.1;
+    if (fleet.draw(std::uint64_t{3}) == 0) fleet.altered = 0.05;
     for (int step = 0; step < 30; ++step) {
-      const auto many = w.draw(std::uint64_t{4}) == 0 ? w.draw(std::uint64_t{40}) : w.draw(std::uint64_t{3});
+      const auto many =
+          fleet.draw(std::uint64_t{4}) == 0 ? fleet.draw(std::uint64_t{40}) : fleet.draw(std::uint64_t{3});
       for (std::uint64_t i = 0; i < many; ++i)
-        w.propose(drawnChange(w, keys, w.draw(std::uint64_t{60}) ? w.draw(std::uint64_t{200}) : 4000));
-      fault(static_cast<int>(w.draw(n)));
-      w.run(w.draw(kSec));
+        fleet.propose(
+            randomChange(fleet, keys, fleet.draw(std::uint64_t{60}) ? fleet.draw(std::uint64_t{200}) : 4000));
+      fault(static_cast<int>(fleet.draw(n)));
+      fleet.run(fleet.draw(kSec));
     }
-    heal();
+    healAndConverge();
   }
   void fault(int i) {
-    auto& w = world;
-    switch (w.draw(std::uint64_t{14})) {
+    switch (fleet.draw(std::uint64_t{14})) {
       case 0:
-        if (running() > 2) w.kill(i);
+        if (running() > 2) fleet.kill(i);
         break;
       case 1:
       case 2:
-        if (!w.at(i).up) w.start(i);
+        if (!fleet.at(i).up) fleet.start(i);
         break;
       case 3:
-        w.stall(i, w.draw(5 * kSec));
+        fleet.stall(i, fleet.draw(5 * kSec));
         break;
-      case 4: {  // a region from the others
-        const int region = w.at(i).region;
-        w.cut = [&w, region](int a, int b) {
-          return (w.at(a).region == region) != (w.at(b).region == region);
+      case 4: {  // partitions one region from the others
+        const int region = fleet.at(i).region;
+        fleet.cut = [this, region](int a, int b) {
+          return (fleet.at(a).region == region) != (fleet.at(b).region == region);
         };
-        w.viewChanged();
+        fleet.viewChanged();
         break;
       }
       case 5:
-        w.cut = [i](int a, int) { return a == i; };
-        break;  // one way
+        fleet.cut = [i](int a, int) { return a == i; };
+        break;  // one direction only
       case 6:
-        w.cut = [i](int, int b) { return b == i; };
+        fleet.cut = [i](int, int b) { return b == i; };
         break;
-      case 7: {  // half of all pairs, one way
-        const auto salt = w.draw(std::uint64_t{1000});
-        w.cut = [salt](int a, int b) {
+      case 7: {  // half of all pairs, one direction only
+        const auto salt = fleet.draw(std::uint64_t{1000});
+        fleet.cut = [salt](int a, int b) {
           return ((static_cast<std::uint64_t>(a) * 31 + static_cast<std::uint64_t>(b) * 17 + salt) / 7) % 2;
         };
         break;
       }
       case 8:
       case 9:
-        w.cut = [](int, int) { return false; };
+        fleet.cut = [](int, int) { return false; };
         break;
       case 10:
-        w.lead(static_cast<int>(w.draw(static_cast<std::uint64_t>(w.voters()))));
+        fleet.lead(static_cast<int>(fleet.draw(static_cast<std::uint64_t>(fleet.voters()))));
         break;
       case 11:
-        if (w.draw(std::uint64_t{6}) == 0) {
-          w.cut = [](int, int) { return false; };
-          w.emptyVoters();
-          w.lead(static_cast<int>(w.draw(static_cast<std::uint64_t>(w.voters()))));
-          if (!w.propose(put(w.truth(), "first", "x"))) break;
-          begin(w, ++generation);
+        if (fleet.draw(std::uint64_t{6}) == 0) {
+          fleet.cut = [](int, int) { return false; };
+          fleet.emptyVoters();
+          fleet.lead(static_cast<int>(fleet.draw(static_cast<std::uint64_t>(fleet.voters()))));
+          if (!fleet.propose(put(fleet.truth(), "first", "x"))) break;
+          beginGeneration(fleet, ++generation);
         }
         break;
       default:
         break;
     }
   }
-  void heal() {
-    auto& w = world;
-    w.cut = [](int, int) { return false; };
-    w.loss = w.loss > 0 ? 0.01 : 0, w.doubled = w.altered = 0;
-    for (int i = 0; i < w.size(); ++i)
-      if (!w.at(i).up) w.start(i);
-    w.viewChanged();
-    w.run(6 * kSec);  // who stands still comes back
-    w.lead(static_cast<int>(w.draw(static_cast<std::uint64_t>(w.voters()))));
-    if (Checker::position(w.truth()).generation < generation || generation == 0) begin(w, ++generation);
-    w.propose(put(w.truth(), "last", "x"));
-    const Nanos before = w.now;
-    checker.untilLevel(400 * kSec);  // all that was missed, at the pace of the budget
-    took = w.now - before;
-    checker.atTheEnd();
+  void healAndConverge() {
+    fleet.cut = [](int, int) { return false; };
+    fleet.loss = fleet.loss > 0 ? 0.01 : 0;
+    fleet.doubled = fleet.altered = 0;
+    for (int i = 0; i < fleet.size(); ++i)
+      if (!fleet.at(i).up) fleet.start(i);
+    fleet.viewChanged();
+    fleet.run(6 * kSec);  // stalled members resume
+    fleet.lead(static_cast<int>(fleet.draw(static_cast<std::uint64_t>(fleet.voters()))));
+    if (Checker::position(fleet.truth()).generation < generation || generation == 0)
+      beginGeneration(fleet, ++generation);
+    fleet.propose(put(fleet.truth(), "last", "x"));
+    const Nanos before = fleet.now;
+    checker.runUntilConverged(400 * kSec);  // the budget limits how fast missed changes are sent
+    convergenceTime = fleet.now - before;
+    checker.checkFinalState();
   }
   int running() const {
     int count = 0;
-    for (int i = 0; i < world.size(); ++i) count += world.at(i).up;
+    for (int i = 0; i < fleet.size(); ++i) count += fleet.at(i).up;
     return count;
   }
 
-  VirtualChanges world;
+  VirtualChanges fleet;
   Checker checker;
   std::uint64_t generation = 0;
-  Nanos took = 0;  // from the heal to all level
+  Nanos convergenceTime = 0;  // from the healing until all members have converged
 };
 
-void tell(const VirtualChanges& w) {
-  std::fprintf(
-      stderr, "leader %d, truth %llu, rate %.0f burst %zu fan-out %zu tail %zu/%zu every %llu relays %zu\n",
-      w.leader(), static_cast<unsigned long long>(w.truth().commands()), w.options().settings.bytesPerSecond,
-      w.options().settings.burstBytes, w.options().settings.fanOut, w.options().settings.tailChanges,
-      w.options().settings.tailBytes, static_cast<unsigned long long>(w.options().settings.snapshotEvery),
-      w.options().settings.relays.size());
-  for (int i = 0; i < w.size(); ++i) {
-    const auto& m = w.at(i);
+void printState(const VirtualChanges& fleet) {
+  std::fprintf(stderr,
+               "leader %d, truth %llu, rate %.0f burst %zu fan-out %zu tail %zu/%zu every %llu relays %zu\n",
+               fleet.leader(), static_cast<unsigned long long>(fleet.truth().commands()),
+               fleet.options().settings.bytesPerSecond, fleet.options().settings.burstBytes,
+               fleet.options().settings.fanOut, fleet.options().settings.tailChanges,
+               fleet.options().settings.tailBytes,
+               static_cast<unsigned long long>(fleet.options().settings.snapshotEvery),
+               fleet.options().settings.relays.size());
+  for (int i = 0; i < fleet.size(); ++i) {
+    const auto& m = fleet.at(i);
     const auto& c = m.node->counters();
     const auto f = m.node->inForce();
     std::fprintf(
@@ -190,7 +193,7 @@
         m.name.c_str(), m.zone.c_str(), m.region, m.votes ? " votes" : "", m.up,
         static_cast<unsigned long long>(m.node->position().generation),
         static_cast<unsigned long long>(m.node->position().number), m.node->parent().c_str(),
-        m.node->children(), static_cast<double>(m.node->age(w.now)) / 1e9,
+        m.node->children(), static_cast<double>(m.node->age(fleet.now)) / 1e9,
         static_cast<unsigned long long>(f.members), static_cast<unsigned long long>(f.level),
         static_cast<unsigned long long>(f.low.number), static_cast<unsigned long long>(c.deferred),
         static_cast<unsigned long long>(c.diverged), static_cast<unsigned long long>(c.repeated),
@@ -201,7 +204,7 @@
 void schedules(std::uint64_t first, std::uint64_t last) {
   std::uint64_t applied = 0, snapshots = 0, diverged = 0, broken = 0, left = 0, turnedAway = 0, deferred = 0;
   int bad = 0;
-  std::vector<Nanos> took;
+  std::vector<Nanos> convergenceTime;
   std::uint64_t slowest = first;
   for (std::uint64_t seed = first; seed <= last; ++seed) {
     Schedule s(seed);
@@ -209,11 +212,13 @@
     for (const auto& what : s.checker.violations)
       std::fprintf(stderr, "seed %llu: %s\n", static_cast<unsigned long long>(seed), what.c_str());
     bad += !s.checker.violations.empty();
-    if (!s.checker.violations.empty()) tell(s.world);
-    if (std::all_of(took.begin(), took.end(), [&](Nanos t) { return t < s.took; })) slowest = seed;
-    took.push_back(s.took);
-    for (int i = 0; i < s.world.size(); ++i) {
-      const auto& c = s.world.at(i).node->counters();
+    if (!s.checker.violations.empty()) printState(s.fleet);
+    if (std::all_of(convergenceTime.begin(), convergenceTime.end(),
+                    [&](Nanos t) { return t < s.convergenceTime; }))
+      slowest = seed;
+    convergenceTime.push_back(s.convergenceTime);
+    for (int i = 0; i < s.fleet.size(); ++i) {
+      const auto& c = s.fleet.at(i).node->counters();
       applied += c.changesApplied, snapshots += c.snapshotsTaken, diverged += c.diverged, broken += c.broken;
       left += c.parentsLeft, turnedAway += c.turnedAway, deferred += c.deferred;
     }
@@ -226,130 +231,139 @@
       static_cast<unsigned long long>(snapshots), static_cast<unsigned long long>(diverged),
       static_cast<unsigned long long>(broken), static_cast<unsigned long long>(left),
       static_cast<unsigned long long>(turnedAway), static_cast<unsigned long long>(deferred), bad);
-  std::sort(took.begin(), took.end());
+  std::sort(convergenceTime.begin(), convergenceTime.end());
   std::printf("level after the heal: median %.1f s, 99 in 100 %.1f s, last %.1f s (seed %llu)\n",
-              static_cast<double>(took[took.size() / 2]) / 1e9,
-              static_cast<double>(took[took.size() * 99 / 100]) / 1e9, static_cast<double>(took.back()) / 1e9,
-              static_cast<unsigned long long>(slowest));
+              static_cast<double>(convergenceTime[convergenceTime.size() / 2]) / 1e9,
+              static_cast<double>(convergenceTime[convergenceTime.size() * 99 / 100]) / 1e9,
+              static_cast<double>(convergenceTime.back()) / 1e9, static_cast<unsigned long long>(slowest));
   CHECK(bad == 0);
 }
 
-// ---- Mistakes that are seeded: the checker must find each of them.
+// ---- Injected faults: the checker must detect each of them.
 
-// A small fleet, half a minute of changes, then all that the checker says.
-std::set<std::string> foundIn(const std::function<void(VirtualChanges&, Checker&)>& mistake,
-                              const std::function<void(VirtualChanges&)>& midway = nullptr) {
+// Runs a small fleet for half a minute of changes with an injected fault; returns the violations found.
+std::set<std::string> violationsWith(const std::function<void(VirtualChanges&, Checker&)>& injectFault,
+                                     const std::function<void(VirtualChanges&)>& midway = nullptr) {
   VirtualChanges::Options o;
-  o.members = 12, o.zones = 2, o.regions = 2, o.seed = 5;
-  o.settings.fanOut = 2, o.settings.snapshotEvery = 8, o.settings.tailChanges = 32;
-  VirtualChanges w(o);
-  Checker checker(w, true);
-  w.startAll();
-  w.run(2 * kSec);
-  begin(w, 1);
-  mistake(w, checker);
+  o.members = 12;
+  o.zones = 2;
+  o.regions = 2;
+  o.seed = 5;
+  o.settings.fanOut = 2;
+  o.settings.snapshotEvery = 8;
+  o.settings.tailChanges = 32;
+  VirtualChanges fleet(o);
+  Checker checker(fleet, true);
+  fleet.startAll();
+  fleet.run(2 * kSec);
+  beginGeneration(fleet, 1);
+  injectFault(fleet, checker);
   for (int step = 0; step < 30; ++step) {
-    w.propose(drawnChange(w, 10, 40));
-    w.run(kSec);
-    if (step == 15 && midway) midway(w);
+    fleet.propose(randomChange(fleet, 10, 40));
+    fleet.run(kSec);
+    if (step == 15 && midway) midway(fleet);
   }
-  checker.untilLevel(20 * kSec);
-  checker.atTheEnd();
+  checker.runUntilConverged(20 * kSec);
+  checker.checkFinalState();
   return checker.violations;
 }
 
-// What member 7 seems to hold is what it would, had it made the mistake, from the twelfth change on.
-void seemsToHold(VirtualChanges& w, Checker& checker,
-                 std::function<agreement::Register(const std::vector<agreement::Command>&)> made) {
+// From the twelfth change on, shows the checker the register that member 7 would have with a faulty
+// implementation.
+void injectRegister(
+    VirtualChanges& fleet, Checker& checker,
+    std::function<agreement::Register(const std::vector<agreement::Command>&)> faultyRegister) {
   const auto shown = std::make_shared<agreement::Register>();
-  checker.seeded = [&w, shown, made = std::move(made)](int i) -> const agreement::Register* {
-    if (i != 7 || w.at(7).node->held().commands() < 12) return nullptr;
-    const auto has = w.at(7).node->held().commands();
-    *shown = made({w.log().begin(), w.log().begin() + static_cast<std::ptrdiff_t>(has)});
+  checker.injectedRegister =
+      [&fleet, shown, faultyRegister = std::move(faultyRegister)](int i) -> const agreement::Register* {
+    if (i != 7 || fleet.at(7).node->held().commands() < 12) return nullptr;
+    const auto has = fleet.at(7).node->held().commands();
+    *shown = faultyRegister({fleet.log().begin(), fleet.log().begin() + static_cast<std::ptrdiff_t>(has)});
     return shown.get();
   };
 }
 
-void seededMistakesAreFound() {
+void injectedFaultsAreDetected() {
   using Log = std::vector<agreement::Command>;
   const auto apply = [](const Log& log) {
     agreement::Register r;
     for (const auto& c : log) r.apply(c);
     return r;
   };
-  const auto holds = [&](std::function<agreement::Register(Log)> made) {
-    return foundIn([&](VirtualChanges& w, Checker& checker) { seemsToHold(w, checker, made); });
+  const auto holds = [&](std::function<agreement::Register(Log)> faultyRegister) {
+    return violationsWith(
+        [&](VirtualChanges& fleet, Checker& checker) { injectRegister(fleet, checker, faultyRegister); });
   };
   const auto has = [](const std::set<std::string>& found, const char* what) {
     for (const auto& f : found)
       if (f.find(what) != std::string::npos) return true;
-    std::fprintf(stderr, "not found: %s\n", what);
+    std::fprintf(stderr, "violation not detected: %s\n", what);
     return false;
   };
-  const char* kNoPrefix = "not what was agreed on";
+  const char* kNoCommittedPrefix = "matches no committed prefix";
 
-  CHECK(foundIn([](VirtualChanges&, Checker&) {}).empty());
+  CHECK(violationsWith([](VirtualChanges&, Checker&) {}).empty());
 
-  // One is left out, its number counted.
+  // One change is skipped, but counted.
   CHECK(has(holds([&](Log log) {
               log[9] = {"", {}, 0};
               return apply(log);
             }),
-            kNoPrefix));
-  // One applied twice, one after the other.
+            kNoCommittedPrefix));
+  // One change is applied twice in a row.
   CHECK(has(holds([&](Log log) {
               const auto twice = log[5];
               log.insert(log.begin() + 5, twice);
               return apply(log);
             }),
-            kNoPrefix));
-  // Two in the other order.
+            kNoCommittedPrefix));
+  // Two changes are applied in reverse order.
   CHECK(has(holds([&](Log log) {
               std::swap(log[7], log[8]);
               return apply(log);
             }),
-            kNoPrefix));
-  // Half a batch: the latest ones counted, not done.
+            kNoCommittedPrefix));
+  // A batch is applied partly: its last changes are counted, but not applied.
   CHECK(has(holds([&](Log log) {
               for (std::size_t i = log.size() - 2; i < log.size(); ++i) log[i] = {"", {}, 0};
               return apply(log);
             }),
-            kNoPrefix));
-  // An older snapshot put in place of what is there: a state that was agreed on, but earlier.
+            kNoCommittedPrefix));
+  // An older snapshot replaces a newer register: a committed prefix, but the position goes back.
   CHECK(has(holds([&](Log log) {
               if (log.size() % 8 == 0) log.resize(log.size() / 2);
               return apply(log);
             }),
             "went back"));
-  // The budget passed over: each message of one member many times.
+  // The send budget is exceeded: one member sends a hundred extra messages.
   {
     bool again = false;
-    CHECK(has(foundIn([&](VirtualChanges& w, Checker&) {
-                w.sending = [&w, &again](int from, dissemination::Out& o) {
+    CHECK(has(violationsWith([&](VirtualChanges& fleet, Checker&) {
+                fleet.sending = [&fleet, &again](int from, dissemination::Out& o) {
                   if (from == 0 && !again) {
                     again = true;
-                    for (int i = 0; i < 100; ++i) w.sendAs(from, {o.to, std::string(1200, 'x')});
+                    for (int i = 0; i < 100; ++i) fleet.sendAs(from, {o.to, std::string(1200, 'x')});
                     again = false;
                   }
                   return true;
                 };
               }),
-              "more sent in a minute"));
-    CHECK(has(foundIn([&](VirtualChanges& w, Checker&) {
-                w.sending = [&w, &again](int from, dissemination::Out& o) {
-                  if (from == 4 && !again && w.now % 7 == 0) {
+              "sent more in a minute"));
+    CHECK(has(violationsWith([&](VirtualChanges& fleet, Checker&) {
+                fleet.sending = [&fleet, &again](int from, dissemination::Out& o) {
+                  if (from == 4 && !again && fleet.now % 7 == 0) {
                     again = true;
-                    for (int i = 0; i < 100; ++i) w.sendAs(from, {o.to, std::string(1200, 'x')});
+                    for (int i = 0; i < 100; ++i) fleet.sendAs(from, {o.to, std::string(1200, 'x')});
                     again = false;
                   }
                   return true;
                 };
               }),
-              "more sent at once"));
+              "sent more at once"));
   }
-  // One counted twice, in what its parent is told.
-  CHECK(has(foundIn([](VirtualChanges& w, Checker&) {
-              w.sending = [](int from, dissemination::Out& o) {
+  // A member is counted twice in the report to its parent.
+  CHECK(has(violationsWith([](VirtualChanges& fleet, Checker&) {
+              fleet.sending = [](int from, dissemination::Out& o) {
                 if (from != 9 || dissemination::kindOf(o.bytes) != dissemination::Kind::report) return true;
                 auto r = *dissemination::readReport(o.bytes);
                 ++r.members, ++r.level;
@@ -357,71 +371,74 @@
                 return true;
               };
             }),
-            "counts are not"));
-  // A change that never comes to one.
-  CHECK(has(foundIn([](VirtualChanges& w, Checker&) {
-              w.sending = [](int, dissemination::Out& o) {
+            "counts differ"));
+  // One member never receives any change.
+  CHECK(has(violationsWith([](VirtualChanges& fleet, Checker&) {
+              fleet.sending = [](int, dissemination::Out& o) {
                 const auto kind = dissemination::kindOf(o.bytes);
                 return o.to != "m6" ||
                        (kind != dissemination::Kind::changes && kind != dissemination::Kind::piece);
               };
             }),
-            "not everyone has everything"));
-  // Too many children.
-  CHECK(has(foundIn([](VirtualChanges&, Checker& c) { c.extraChildren = 5; }), "more children"));
-  // A beat that says that its news is fresh, in a region that is cut off.
-  CHECK(has(foundIn(
-                [](VirtualChanges& w, Checker&) {
-                  w.sending = [](int from, dissemination::Out& o) {
-                    if (from % 2 == 0 || dissemination::kindOf(o.bytes) != dissemination::Kind::beat)
+            "members have not converged"));
+  // A member has too many children.
+  CHECK(has(violationsWith([](VirtualChanges&, Checker& c) { c.extraChildren = 5; }), "more children"));
+  // Heartbeats claim fresh state in a part of the fleet that is partitioned from the voters.
+  CHECK(has(violationsWith(
+                [](VirtualChanges& fleet, Checker&) {
+                  fleet.sending = [](int from, dissemination::Out& o) {
+                    if (from % 2 == 0 || dissemination::kindOf(o.bytes) != dissemination::Kind::heartbeat)
                       return true;
-                    auto b = *dissemination::readBeat(o.bytes);
+                    auto b = *dissemination::readHeartbeat(o.bytes);
                     b.age = 0;
                     o.bytes = dissemination::write(b);
                     return true;
                   };
                 },
-                [](VirtualChanges& w) {
-                  w.cut = [](int a, int b) { return a % 2 != b % 2; };
-                  w.viewChanged();
-                  w.run(10 * kSec);
+                [](VirtualChanges& fleet) {
+                  fleet.cut = [](int a, int b) { return a % 2 != b % 2; };
+                  fleet.viewChanged();
+                  fleet.run(10 * kSec);
                 }),
-            "an age that"));
+            "an age younger than"));
   std::puts("seeded mistakes: each was found");
 }
 
-// ---- Bytes that nobody of the fleet has written.
+// ---- Malformed messages.
 
-void brokenBytesChangeNothing(std::uint64_t seed) {
+void malformedBytesChangeNothing(std::uint64_t seed) {
   VirtualChanges::Options o;
-  o.members = 8, o.seed = seed;
-  o.settings.fanOut = 2, o.settings.snapshotEvery = 8, o.settings.tailChanges = 16,
+  o.members = 8;
+  o.seed = seed;
+  o.settings.fanOut = 2;
+  o.settings.snapshotEvery = 8;
+  o.settings.tailChanges = 16;
   o.settings.pieceBytes = 100;
-  VirtualChanges w(o);
-  Checker checker(w, true);
+  VirtualChanges fleet(o);
+  Checker checker(fleet, true);
   std::vector<std::string> genuine;
-  w.sending = [&](int, dissemination::Out& out) {
+  fleet.sending = [&](int, dissemination::Out& out) {
     if (genuine.size() < 4000) genuine.push_back(out.bytes);
     return true;
   };
-  w.startAll();
-  w.run(2 * kSec);
-  begin(w, 1);
+  fleet.startAll();
+  fleet.run(2 * kSec);
+  beginGeneration(fleet, 1);
   for (int i = 0; i < 30; ++i) {
-    w.propose(drawnChange(w, 10, 40));
-    w.run(300 * kMs);
-    if (i == 15) w.start(6);  // with a snapshot on its way
+    fleet.propose(randomChange(fleet, 10, 40));
+    fleet.run(300 * kMs);
+    if (i == 15) fleet.start(6);  // while a snapshot download is in progress
   }
-  CHECK(checker.untilLevel(30 * kSec));
+  CHECK(checker.runUntilConverged(30 * kSec));
   std::mt19937_64 r(seed);
   std::uint64_t broken = 0, fed = 0;
   for (int i = 0; i < 20000; ++i) {
     std::string bytes;
-    if (i % 4 == 0) {  // anything
+    if (i % 4 == 0) {  // random noise
       bytes.resize(r() % 200);
       for (auto& c : bytes) c = static_cast<char>(r());
       if (!bytes.empty()) bytes[0] = static_cast<char>(r() % 12);
-    } else {  // one of theirs with a bit changed, an end cut off or a piece doubled
+    } else {  // a genuine message with a flipped bit, truncated or doubled
       bytes = genuine[r() % genuine.size()];
       if (i % 4 == 1) bytes[r() % bytes.size()] ^= static_cast<char>(1u << (r() % 8));
       if (i % 4 == 2) bytes.resize(r() % bytes.size());
@@ -429,17 +446,17 @@
     }
     const int to = static_cast<int>(r() % 8);
     const int from = static_cast<int>(r() % 8);
-    auto& node = *w.at(to).node;
+    auto& node = *fleet.at(to).node;
     const auto before = node.position();
     const auto counted = node.counters().broken;
-    node.received(i % 16 == 5 ? "nobody" : w.at(from).name, bytes, w.now);
+    node.received(i % 16 == 5 ? "nobody" : fleet.at(from).name, bytes, fleet.now);
     CHECK(node.position() == before);
     broken += node.counters().broken - counted;
     ++fed;
   }
   CHECK(broken == fed);
-  // Whole messages with a right checksum, of other fields: nothing thrown, and nothing applied that isn't the
-  // fleet's.
+  // Intact messages with a valid checksum and random fields: nothing is thrown, and no change is applied that
+  // was not committed.
   for (int i = 0; i < 20000; ++i) {
     const auto any = [&] { return r() % 3 ? r() % 64 : r(); };
     dissemination::Changes c{any(), any(), {}};
@@ -447,43 +464,49 @@
       c.commands.push_back(r() % 2 ? std::string(r() % 20, static_cast<char>(r()))
                                    : agreement::writeCommand({"key/1", "x", any()}));
     dissemination::Report report;
-    report.flags = static_cast<std::uint8_t>(r()), report.number = any(), report.digest = any();
-    report.generation = any(), report.members = any(), report.level = any(), report.early = any();
+    report.flags = static_cast<std::uint8_t>(r());
+    report.number = any();
+    report.digest = any();
+    report.generation = any();
+    report.members = any();
+    report.level = any();
+    report.firstOutOfOrder = any();
     report.slowest = {{std::string(r() % 300, 'n'), any(), any()}};
     const std::string all[] = {
         dissemination::write(c),
         dissemination::write(report),
         dissemination::write(report, dissemination::Kind::counts),
-        dissemination::write(dissemination::Beat{any(), static_cast<std::uint32_t>(r()),
-                                                 static_cast<std::uint32_t>(any()),
-                                                 static_cast<std::uint16_t>(r())}),
+        dissemination::write(dissemination::Heartbeat{any(), static_cast<std::uint32_t>(r()),
+                                                      static_cast<std::uint32_t>(any()),
+                                                      static_cast<std::uint16_t>(r())}),
         dissemination::write(dissemination::Offer{any(), any(), any(), any(), any()}),
-        dissemination::write(dissemination::Ask{any(), any(), static_cast<std::uint32_t>(any()),
-                                                static_cast<std::uint32_t>(any()),
-                                                static_cast<std::uint32_t>(any())}),
+        dissemination::write(dissemination::PieceRequest{any(), any(), static_cast<std::uint32_t>(any()),
+                                                         static_cast<std::uint32_t>(any()),
+                                                         static_cast<std::uint32_t>(any())}),
         dissemination::write(dissemination::Piece{any(), any(), static_cast<std::uint32_t>(any()),
                                                   std::string(r() % 300, 'p')}),
-        dissemination::write(dissemination::Nothing{any(), r() % 2 == 0})};
+        dissemination::write(dissemination::Unavailable{any(), r() % 2 == 0})};
     const int to = static_cast<int>(r() % 8);
-    auto& node = *w.at(to).node;
+    auto& node = *fleet.at(to).node;
     const auto before = node.held();
-    const auto& from = i % 2 && !node.parent().empty() ? node.parent() : w.at(static_cast<int>(r() % 8)).name;
-    for (const auto& out : node.received(std::string(from), all[r() % 8], w.now))
-      CHECK(out.bytes.size() <= dissemination::kMostMessage);
-    if (i % 100 == 0) w.run(50 * kMs);
+    const auto& from =
+        i % 2 && !node.parent().empty() ? node.parent() : fleet.at(static_cast<int>(r() % 8)).name;
+    for (const auto& out : node.received(std::string(from), all[r() % 8], fleet.now))
+      CHECK(out.bytes.size() <= dissemination::kMaxMessageBytes);
+    if (i % 100 == 0) fleet.run(50 * kMs);
     CHECK(i % 100 == 0 || node.held() == before);
   }
-  w.run(60 * kSec);
-  w.propose(put(w.truth(), "last", "x"));
-  CHECK(checker.untilLevel(400 * kSec));
-  checker.atTheEnd();
+  fleet.run(60 * kSec);
+  fleet.propose(put(fleet.truth(), "last", "x"));
+  CHECK(checker.runUntilConverged(400 * kSec));
+  checker.checkFinalState();
   for (const auto& what : checker.violations) std::fprintf(stderr, "%s\n", what.c_str());
   CHECK(checker.violations.empty());
 }
 
-// ---- Bytes of other versions, and of nobody's.
+// ---- Messages of other versions.
 
-// A message of any kind with a right checksum around any body.
+// A message with a valid checksum around any body.
 std::string framed(dissemination::Kind kind, const std::string& body) {
   const auto sum = static_cast<std::uint32_t>(
       XXH3_64bits_withSeed(body.data(), body.size(), static_cast<std::uint64_t>(kind)));
@@ -512,22 +535,22 @@
   using dissemination::Kind, std::uint64_t;
   const std::vector<std::tuple<std::string, uint64_t, uint64_t>> slowest{{"m9", 7, 3}};
   const auto report = each(1, 7, 5, uint64_t{1} << 60, 0, 3, 7, 3, 2, slowest);
-  return {{Kind::beat, each(5, 77, 12, 31)},
+  return {{Kind::heartbeat, each(5, 77, 12, 31)},
           {Kind::changes, each(0, 9, std::vector<std::string>{agreement::writeCommand({"a", "1", 0})})},
           {Kind::report, report},
           {Kind::offer, each(7, 5, 9, 11, 100)},
-          {Kind::ask, each(5, 11, 100, 0, 2)},
+          {Kind::pieceRequest, each(5, 11, 100, 0, 2)},
           {Kind::piece, each(5, 11, 0, std::string("p"))},
-          {Kind::nothing, each(11, true)},
+          {Kind::unavailable, each(11, true)},
           {Kind::counts, report}};
 }
 
-// Whether the message is read, by the reader of its kind.
+// Whether the decoder of the message's kind accepts it.
 bool isRead(const std::string& bytes) {
   using dissemination::Kind;
   switch (*dissemination::kindOf(bytes)) {
-    case Kind::beat:
-      return dissemination::readBeat(bytes).has_value();
+    case Kind::heartbeat:
+      return dissemination::readHeartbeat(bytes).has_value();
     case Kind::changes:
       return dissemination::readChanges(bytes).has_value();
     case Kind::report:
@@ -535,32 +558,33 @@
       return dissemination::readReport(bytes).has_value();
     case Kind::offer:
       return dissemination::readOffer(bytes).has_value();
-    case Kind::ask:
-      return dissemination::readAsk(bytes).has_value();
+    case Kind::pieceRequest:
+      return dissemination::readPieceRequest(bytes).has_value();
     case Kind::piece:
       return dissemination::readPiece(bytes).has_value();
-    case Kind::nothing:
-      return dissemination::readNothing(bytes).has_value();
+    case Kind::unavailable:
+      return dissemination::readUnavailable(bytes).has_value();
     default:
       return true;
   }
 }
 
-// A member below the voter `v`, which has told it that it is there.
-std::unique_ptr<Disseminator> below(const std::string& parent, Nanos now) {
+// A member whose parent is the voter `parent`.
+std::unique_ptr<Disseminator> memberBelow(const std::string& parent, Nanos now) {
   dissemination::Settings s;
-  s.self = "m", s.voters = {parent};
+  s.self = "m";
+  s.voters = {parent};
   auto out = std::make_unique<Disseminator>(s);
   out->tick(now);
-  out->received(parent, dissemination::write(dissemination::Beat{0, 0, 0, 25}), now);
+  out->received(parent, dissemination::write(dissemination::Heartbeat{0, 0, 0, 25}), now);
   CHECK(out->parent() == parent);
   return out;
 }
 
-// Fewer fields than a message has: broken, not read with nought for what is missing. A beat without an age
-// would vouch for its news as the freshest that there is.
-void messagesWithFewerFieldsAreBroken() {
-  const auto member = below("v", kSec);
+// A message with missing fields is malformed. If missing fields were decoded as zero, a heartbeat without an
+// age would announce perfectly fresh state.
+void messagesWithMissingFieldsAreMalformed() {
+  const auto member = memberBelow("v", kSec);
   std::uint64_t fed = 0;
   const auto feed = [&](const std::string& bytes) {
     CHECK(dissemination::kindOf(bytes) && !isRead(bytes));
@@ -582,8 +606,8 @@
   }
 }
 
-// What a later version puts behind the known fields is passed over, and these are read as ever.
-void fieldsOfLaterVersionsArePassedOver() {
+// Fields that a later version appends are ignored, and the known ones are decoded as before.
+void appendedFieldsAreIgnored() {
   for (const auto& sample : samples()) {
     const auto known = framed(sample.kind, arrayOf(sample.fields));
     auto more = sample.fields;
@@ -596,18 +620,18 @@
         return write(*read(later), writeMore...) == write(*read(known), writeMore...);
       };
       if (sample.kind == Kind::offer) CHECK(write(*readOffer(known)) == known);
-      if (sample.kind == Kind::beat) CHECK(same(readBeat) && write(*readBeat(known)) == known);
+      if (sample.kind == Kind::heartbeat) CHECK(same(readHeartbeat) && write(*readHeartbeat(known)) == known);
       if (sample.kind == Kind::changes) CHECK(same(readChanges));
       if (sample.kind == Kind::report) CHECK(same(readReport, Kind::report));
       if (sample.kind == Kind::offer) CHECK(same(readOffer));
-      if (sample.kind == Kind::ask) CHECK(same(readAsk));
+      if (sample.kind == Kind::pieceRequest) CHECK(same(readPieceRequest));
       if (sample.kind == Kind::piece) CHECK(same(readPiece));
-      if (sample.kind == Kind::nothing) CHECK(same(readNothing));
+      if (sample.kind == Kind::unavailable) CHECK(same(readUnavailable));
     }
   }
 }
 
-// ---- One member, told what is seldom said.
+// ---- A single member in rare situations.
 
 using dissemination::Out;
 
@@ -618,35 +642,39 @@
   return out;
 }
 
-std::string beat(std::uint64_t number, std::uint32_t mark = 0, Nanos age = 0) {
-  return dissemination::write(
-      dissemination::Beat{number, mark, static_cast<std::uint32_t>(age / dissemination::kAgeUnit), 25});
+std::string heartbeatOf(std::uint64_t number, std::uint32_t mark = 0, Nanos age = 0) {
+  return dissemination::write(dissemination::Heartbeat{
+      number, mark, static_cast<std::uint32_t>(age / dissemination::kAgeUnitNs), 25});
 }
 
-// In a roll of all, views change faster than anybody looks homewards: he does all the same.
-void aChangingViewKeepsNobodyAway() {
+// During a rolling restart the view changes faster than the interval at which a member probes its preferred
+// parents; it must probe them all the same.
+void frequentViewChangesDoNotDelayThePreferredParent() {
   dissemination::Tree tree;
-  tree.candidates = {"relay", "v"}, tree.preferred = 1, tree.relays = 1, tree.top = 1;
+  tree.candidates = {"relay", "v"};
+  tree.preferred = 1;
+  tree.relays = 1;
+  tree.top = 1;
   dissemination::Parents parents(800 * kMs, 2 * kSec, 1);
   Nanos now = kSec;
-  dissemination::Parents::Words words;
-  parents.plan(tree, now);
+  dissemination::Parents::Actions actions;
+  parents.setTree(tree, now);
   parents.tick(now);
-  parents.refused("relay", now, words);
-  CHECK(parents.heard("v", now, words) && parents.parent() == "v");
+  parents.onRefused("relay", now, actions);
+  CHECK(parents.onMessage("v", now, actions) && parents.parent() == "v");
   bool looked = false;
   for (int i = 0; i < 300 && !looked; ++i) {
     now += 100 * kMs;
-    if (i % 10 == 0) parents.plan(tree, now);
-    parents.beat("v", 100 * kMs, 250 * kMs, now, words);
-    for (const auto& word : parents.tick(now))
-      looked = looked || (word.kind == dissemination::Parents::Word::Kind::look && word.to == "relay");
+    if (i % 10 == 0) parents.setTree(tree, now);
+    parents.onHeartbeat("v", 100 * kMs, 250 * kMs, now, actions);
+    for (const auto& action : parents.tick(now))
+      looked = looked || (action.kind == dissemination::Parents::Action::Kind::probe && action.to == "relay");
   }
   CHECK(looked);
 }
 
-// Of a register, as it goes with changes: what a voter tells that has it.
-std::uint64_t digestAfter(const agreement::Register& held) {
+// The digest that a voter sends along with the changes that lead to `held`.
+std::uint64_t digestOf(const agreement::Register& held) {
   dissemination::Replica replica({1, 1, 1});
   replica.replace(held);
   return replica.digest();
@@ -654,7 +682,9 @@
 
 struct Voter {
   explicit Voter(dissemination::Settings s = {}) {
-    s.self = "v", s.votes = true, s.voters = {"v", "w", "x"};
+    s.self = "v";
+    s.votes = true;
+    s.voters = {"v", "w", "x"};
     node = std::make_unique<Disseminator>(s);
   }
   std::vector<Out> agree(const std::string& value, int count, Nanos now) {
@@ -663,7 +693,7 @@
     for (const auto& c : commands) held.apply(c);
     return node->agreed(held, commands, "v", now);
   }
-  std::vector<Out> told(const std::string& from, const dissemination::Report& report, Nanos now) {
+  std::vector<Out> receiveReport(const std::string& from, const dissemination::Report& report, Nanos now) {
     return node->received(from, dissemination::write(report), now);
   }
   std::unique_ptr<Disseminator> node;
@@ -678,31 +708,32 @@
   return out;
 }
 
-// Changes that fill a hole wait for the budget, too, and are counted.
-void whatAHoleWaitsForIsCounted() {
+// Changes that fill a gap are subject to the budget, too, and are counted as deferred.
+void deferredGapChangesAreCounted() {
   dissemination::Settings s;
-  s.bytesPerSecond = 512, s.burstBytes = 8 * 1024;
+  s.bytesPerSecond = 512;
+  s.burstBytes = 8 * 1024;
   Voter v(s);
   v.node->tick(kSec);
-  v.told("c", subscription(), kSec);
+  v.receiveReport("c", subscription(), kSec);
   const auto sent = ofKind(v.agree(std::string(500, 'x'), 40, kSec), dissemination::Kind::changes);
   CHECK(sent.size() > 2);
   const auto before = v.node->counters().deferred;
   auto missing = subscription(dissemination::Report::kMissing);
-  missing.early = dissemination::readChanges(sent.back().bytes)->from;
-  CHECK(ofKind(v.told("c", missing, kSec), dissemination::Kind::changes).empty());
+  missing.firstOutOfOrder = dissemination::readChanges(sent.back().bytes)->from;
+  CHECK(ofKind(v.receiveReport("c", missing, kSec), dissemination::Kind::changes).empty());
   CHECK(v.node->counters().deferred > before);
 }
 
-// A voter that stood still for longer than a lease knows its leader from before: it vouches for nothing until
-// the time of an election is over.
-void whoStoodStillVouchesForNothing() {
+// A voter that was stalled for longer than a leader lease may know an outdated leader: it confirms no
+// freshness until an election timeout has passed.
+void stalledVoterConfirmsNothing() {
   Voter v;
   const auto ageOf = [&](Nanos now) {
     v.agree("", 0, now);
-    const auto beats = ofKind(v.told("c", subscription(), now), dissemination::Kind::beat);
-    CHECK(!beats.empty());
-    return Nanos{dissemination::readBeat(beats.back().bytes)->age} * dissemination::kAgeUnit;
+    const auto heartbeats = ofKind(v.receiveReport("c", subscription(), now), dissemination::Kind::heartbeat);
+    CHECK(!heartbeats.empty());
+    return Nanos{dissemination::readHeartbeat(heartbeats.back().bytes)->age} * dissemination::kAgeUnitNs;
   };
   Nanos now = kSec;
   const auto runs = [&](Nanos time) {
@@ -714,7 +745,7 @@
   v.agree("x", 1, now);
   runs(kSec);
   CHECK(ageOf(now) <= 100 * kMs);
-  now += 800 * kMs;  // its leader cannot have been replaced by then
+  now += 800 * kMs;  // too short for its leader to have been replaced
   CHECK(ageOf(now) <= 100 * kMs);
   runs(kSec);
   now += 10 * kSec;
@@ -725,136 +756,143 @@
   CHECK(ageOf(now) <= 100 * kMs);
 }
 
-// While this member stood still it got nothing: that is not its parent's slowness.
-void whoStoodStillBlamesNobody() {
-  const auto member = below("v", kSec);
+// A stalled member receives nothing; that must not count as slowness of its parent.
+void stalledMemberKeepsItsParent() {
+  const auto member = memberBelow("v", kSec);
   Nanos now = kSec + 50 * kMs;
-  member->received("v", beat(7), now);  // knows of more than it has handed on
+  member->received("v", heartbeatOf(7), now);  // the parent is ahead of what it has sent
   member->tick(now);
   now += 20 * kSec;
   member->tick(now);
-  member->received("v", beat(7), now);
+  member->received("v", heartbeatOf(7), now);
   CHECK(member->parent() == "v" && member->counters().parentsLeft == 0);
 }
 
-// One that claims the highest of numbers, and brings nothing, or a snapshot that nobody has: it is left, and
-// the next one is taken at its word.
-void whoClaimsAndBringsNothingIsLeft(bool offers) {
+// A parent that announces the highest number but sends no changes, or offers a snapshot that nobody has, is
+// left; the next parent is not affected.
+void parentWithoutProgressIsLeft(bool offers) {
   dissemination::Settings s;
-  s.self = "m", s.voters = {"a", "b"};
+  s.self = "m";
+  s.voters = {"a", "b"};
   Disseminator member(s);
   Nanos now = kSec;
-  std::string liar;
+  std::string faultyParent;
   Nanos leftAt = 0;
   const Nanos begun = now;
   while (leftAt == 0 && now < begun + 40 * kSec) {
     for (const auto& out : member.tick(now)) {
-      if (liar.empty() && dissemination::kindOf(out.bytes) == dissemination::Kind::report) liar = out.to;
-      if (out.to != liar || !offers) continue;
+      if (faultyParent.empty() && dissemination::kindOf(out.bytes) == dissemination::Kind::report)
+        faultyParent = out.to;
+      if (out.to != faultyParent || !offers) continue;
       if (dissemination::kindOf(out.bytes) == dissemination::Kind::report)
-        member.received(liar, dissemination::write(dissemination::Offer{~0ull, ~0ull, 1, 2, 5000}), now);
+        member.received(faultyParent, dissemination::write(dissemination::Offer{~0ull, ~0ull, 1, 2, 5000}),
+                        now);
     }
-    if (!liar.empty() && member.parent().empty() && leftAt == 0) member.received(liar, beat(~0ull, 5), now);
-    if (member.parent() == liar) member.received(liar, beat(~0ull, 5), now);
+    if (!faultyParent.empty() && member.parent().empty() && leftAt == 0)
+      member.received(faultyParent, heartbeatOf(~0ull, 5), now);
+    if (member.parent() == faultyParent) member.received(faultyParent, heartbeatOf(~0ull, 5), now);
     now += 100 * kMs;
     if (member.counters().parentsLeft > 0) leftAt = now;
   }
   CHECK(leftAt != 0 && leftAt - begun <= (offers ? 36 : 6) * kSec);
-  const std::string other = liar == "a" ? "b" : "a";
-  member.received(other, beat(0), now);
+  const std::string other = faultyParent == "a" ? "b" : "a";
+  member.received(other, heartbeatOf(0), now);
   CHECK(member.parent() == other);
   Voter v;
   const auto changes = v.agree("x", 1, now);
   CHECK(v.held.commands() == 1);
   member.received(other,
-                  dissemination::write(dissemination::Changes{
-                      0, digestAfter(v.held), {agreement::writeCommand({"k0", "x", 0})}}),
+                  dissemination::write(
+                      dissemination::Changes{0, digestOf(v.held), {agreement::writeCommand({"k0", "x", 0})}}),
                   now);
   CHECK(member.held() == v.held);
 }
 
-// Changes of a parent whose digest is wrong put this one's register in doubt, with that parent alone.
-void doubtsAreOfOneParent() {
-  const auto member = below("v", kSec);
+// Changes with a wrong digest mark the register as diverged towards that parent only.
+void divergenceConcernsOneParentOnly() {
+  const auto member = memberBelow("v", kSec);
   Nanos now = kSec + 10 * kMs;
   member->received(
       "v", dissemination::write(dissemination::Changes{0, 1, {agreement::writeCommand({"k0", "x", 0})}}),
       now);
   CHECK(member->counters().diverged == 1 && (member->position() == Position{}));
-  std::vector<Out> words;
+  std::vector<Out> sent;
   while (member->parent() == "v" && now < 10 * kSec)
-    for (auto& out : member->tick(now += 100 * kMs)) words.push_back(out);
+    for (auto& out : member->tick(now += 100 * kMs)) sent.push_back(out);
   CHECK(member->parent().empty());
-  // It is the only one: it is tried again, and then nothing is in doubt.
+  // The only candidate is tried again; the new subscription must not report divergence.
   while (ofKind(member->tick(now += 100 * kMs), dissemination::Kind::report).empty()) CHECK(now < 60 * kSec);
-  member->received("v", beat(0), now);
+  member->received("v", heartbeatOf(0), now);
   CHECK(member->parent() == "v");
   for (Nanos end = now + 3 * kSec; now < end; now += 100 * kMs) {
-    member->received("v", beat(0), now);
+    member->received("v", heartbeatOf(0), now);
     for (const auto& out : ofKind(member->tick(now), dissemination::Kind::report))
       CHECK(!(dissemination::readReport(out.bytes)->flags & dissemination::Report::kDiverged));
   }
 }
 
-// Of new voters' state begun by a clock that was behind, and of a register that nobody agreed on with the
-// highest generation: neither keeps anybody for ever, and the numbers go on.
-void aLaterGenerationThanTheVotersIsLeft(bool all) {
+// Members in a generation later than the voters' must return to the voters' state. It comes about when a new
+// voters' state is begun with a clock that is behind (`all`), or by a foreign register with the highest
+// generation.
+void unknownLaterGenerationIsGivenUp(bool all) {
   VirtualChanges::Options o;
-  o.members = 40, o.zones = 2, o.seed = 3;
+  o.members = 40;
+  o.zones = 2;
+  o.seed = 3;
   o.settings.fanOut = 2;
-  VirtualChanges w(o);
-  w.startAll();
-  w.run(2 * kSec);
-  begin(w, 1000);
-  for (int i = 0; i < 30; ++i) w.propose(drawnChange(w, 10, 40));
-  w.run(20 * kSec);
+  VirtualChanges fleet(o);
+  fleet.startAll();
+  fleet.run(2 * kSec);
+  beginGeneration(fleet, 1000);
+  for (int i = 0; i < 30; ++i) fleet.propose(randomChange(fleet, 10, 40));
+  fleet.run(20 * kSec);
   const auto level = [&] {
-    for (int i = 0; i < w.size(); ++i)
-      if (!(w.at(i).node->held() == w.truth())) return false;
+    for (int i = 0; i < fleet.size(); ++i)
+      if (!(fleet.at(i).node->held() == fleet.truth())) return false;
     return true;
   };
   CHECK(level());
   if (all) {
-    w.emptyVoters();
-    w.lead(0);
-    begin(w, 7);
+    fleet.emptyVoters();
+    fleet.lead(0);
+    beginGeneration(fleet, 7);
   } else {
     agreement::Register foreign;
     foreign.apply({kGenerationKey, std::to_string(~0ull), 0});
-    for (int i = 10; i < 20; ++i) w.at(i).node->adopt(foreign, w.now);
+    for (int i = 10; i < 20; ++i) fleet.at(i).node->adopt(foreign, fleet.now);
   }
-  for (int i = 0; i < 5; ++i) w.propose(drawnChange(w, 10, 40));
-  w.run(20 * kSec);
-  CHECK(!level());  // not on the first word to the contrary
-  Nanos took = 20 * kSec;
-  for (; !level() && took < 600 * kSec; took += kSec) w.run(kSec);
+  for (int i = 0; i < 5; ++i) fleet.propose(randomChange(fleet, 10, 40));
+  fleet.run(20 * kSec);
+  CHECK(!level());  // not on the first contradicting heartbeat
+  Nanos convergenceTime = 20 * kSec;
+  for (; !level() && convergenceTime < 600 * kSec; convergenceTime += kSec) fleet.run(kSec);
   CHECK(level());
-  w.propose(put(w.truth(), "last", "x"));
-  w.run(10 * kSec);
+  fleet.propose(put(fleet.truth(), "last", "x"));
+  fleet.run(10 * kSec);
   CHECK(level());
   std::printf("%s: all level after %.0f s\n",
               all ? "a generation begun behind the former one" : "a foreign one",
-              static_cast<double>(took) / 1e9);
+              static_cast<double>(convergenceTime) / 1e9);
 }
 
-// What comes from who may not say it, or about nothing that is going on, is passed over and counted.
-void whatIsPassedOverIsCounted() {
+// Messages from a sender without the role for them, or about nothing in progress, are ignored and counted.
+void ignoredMessagesAreCounted() {
   Voter v;
-  const auto member = below("v", kSec);
+  const auto member = memberBelow("v", kSec);
   std::uint64_t counted = 0;
-  for (const auto& bytes : {dissemination::write(dissemination::Nothing{3, true}),
-                            dissemination::writeBare(dissemination::Kind::bye),
+  for (const auto& bytes : {dissemination::write(dissemination::Unavailable{3, true}),
+                            dissemination::writeBare(dissemination::Kind::unsubscribe),
                             dissemination::write(subscription(), dissemination::Kind::counts)}) {
     member->received("n", bytes, kSec);
     CHECK(member->counters().repeated == ++counted);
   }
-  v.told("w", subscription(), kSec);
+  v.receiveReport("w", subscription(), kSec);
   CHECK(v.node->counters().repeated == 1 && v.node->children() == 0);
   v.node->received("n", dissemination::write(subscription(), dissemination::Kind::counts), kSec);
   CHECK(v.node->counters().repeated == 2);
 }
 
-// ---- The fleet at its size.
+// ---- Large fleets.
 
 double percentile(std::vector<double> values, double p) {
   std::sort(values.begin(), values.end());
@@ -862,253 +900,263 @@
   return values[std::min(at, values.size() - 1)];
 }
 
-// When each change was in force at the last of the members that run.
-class Way {
+// Measures when each change has been applied by the last of the running members.
+class PropagationTimer {
  public:
-  explicit Way(VirtualChanges& w) : w_(w), at_(static_cast<std::size_t>(w.size()), 0) {
-    w.stepped = [this, before = w.stepped](int i) {
+  explicit PropagationTimer(VirtualChanges& fleet)
+      : fleet_(fleet), at_(static_cast<std::size_t>(fleet.size()), 0) {
+    fleet.stepped = [this, before = fleet.stepped](int i) {
       before(i);
       stepped(i);
     };
   }
   void propose(agreement::Command command) {
-    CHECK(w_.propose(std::move(command)));
-    open_.push_back({w_.truth().commands(), w_.now, 0});
+    CHECK(fleet_.propose(std::move(command)));
+    pending_.push_back({fleet_.truth().commands(), fleet_.now, 0});
   }
-  // Seconds from the decision to the last member; all members of now must have it.
+  // Seconds from the commit to the last member, per change; all running members must have them.
   std::vector<double> seconds() {
     std::vector<double> out;
-    for (const auto& c : open_) {
+    for (const auto& c : pending_) {
       Nanos last = c.at;
-      for (int i = 0; i < w_.size(); ++i)
-        if (w_.at(i).up) CHECK(at_[static_cast<std::size_t>(i)] >= c.number);
+      for (int i = 0; i < fleet_.size(); ++i)
+        if (fleet_.at(i).up) CHECK(at_[static_cast<std::size_t>(i)] >= c.number);
       last = std::max(last, c.last);
       out.push_back(static_cast<double>(last - c.at) / 1e9);
     }
-    open_.clear();
+    pending_.clear();
     return out;
   }
 
  private:
-  struct Open {
+  struct PendingChange {
     std::uint64_t number;
     Nanos at, last;
   };
   void stepped(int i) {
     auto& has = at_[static_cast<std::size_t>(i)];
-    const auto now = w_.at(i).node->position().number;
+    const auto now = fleet_.at(i).node->position().number;
     if (now <= has) return;
-    for (auto& c : open_)
-      if (c.number > has && c.number <= now && w_.at(i).up) c.last = w_.now;
+    for (auto& c : pending_)
+      if (c.number > has && c.number <= now && fleet_.at(i).up) c.last = fleet_.now;
     has = now;
   }
-  VirtualChanges& w_;
+  VirtualChanges& fleet_;
   std::vector<std::uint64_t> at_;
-  std::vector<Open> open_;
+  std::vector<PendingChange> pending_;
 };
 
-agreement::Command hundredBytes(VirtualChanges& w, std::uint64_t keys) {
-  const std::string key = "permit/cell-" + std::to_string(10000 + w.draw(keys));
-  return put(w.truth(), key, std::string(50, 'v') + std::to_string(w.now));
+agreement::Command hundredByteChange(VirtualChanges& fleet, std::uint64_t keys) {
+  const std::string key = "permit/cell-" + std::to_string(10000 + fleet.draw(keys));
+  return put(fleet.truth(), key, std::string(50, 'v') + std::to_string(fleet.now));
 }
 
-VirtualChanges::Options sized(int members, std::uint64_t seed) {
+VirtualChanges::Options largeFleet(int members, std::uint64_t seed) {
   VirtualChanges::Options o;
-  o.members = members, o.voters = 3, o.regions = 3, o.zones = 6, o.seed = seed;
-  o.viewLag = 14 * kSec, o.viewLeast = 13 * kSec;
+  o.members = members;
+  o.voters = 3;
+  o.regions = 3;
+  o.zones = 6;
+  o.seed = seed;
+  o.viewLag = 14 * kSec;
+  o.viewLeast = 13 * kSec;
   return o;
 }
 
 struct Bytes {
   double mean = 0, most = 0, worstMinute = 0, voters = 0;
 };
-Bytes bytesSince(VirtualChanges& w, const std::vector<std::uint64_t>& before, Nanos since) {
+Bytes bytesSince(VirtualChanges& fleet, const std::vector<std::uint64_t>& before, Nanos since) {
   Bytes out;
-  const double seconds = static_cast<double>(w.now - since) / 1e9;
-  for (int i = 0; i < w.size(); ++i) {
-    auto& m = w.at(i);
+  const double seconds = static_cast<double>(fleet.now - since) / 1e9;
+  for (int i = 0; i < fleet.size(); ++i) {
+    auto& m = fleet.at(i);
     if (!m.up) continue;
     const double each = static_cast<double>(m.sentBytes - before[static_cast<std::size_t>(i)]) / seconds;
-    out.mean += each / w.size();
+    out.mean += each / fleet.size();
     out.most = std::max(out.most, each);
     if (m.votes) out.voters = std::max(out.voters, each);
     out.worstMinute = std::max(out.worstMinute, static_cast<double>(m.worstMinute) / 60);
   }
   return out;
 }
-std::vector<std::uint64_t> marks(VirtualChanges& w) {
+std::vector<std::uint64_t> resetByteCounters(VirtualChanges& fleet) {
   std::vector<std::uint64_t> out;
-  for (int i = 0; i < w.size(); ++i) {
-    out.push_back(w.at(i).sentBytes);
-    w.at(i).worstMinute = w.at(i).sentInMinute;
+  for (int i = 0; i < fleet.size(); ++i) {
+    out.push_back(fleet.at(i).sentBytes);
+    fleet.at(i).worstMinute = fleet.at(i).sentInMinute;
   }
   return out;
 }
-void row(const char* what, const std::vector<double>& way, const Bytes& b) {
-  std::printf("| %s | %zu | %.2f | %.2f | %.2f | %.2f | %.0f | %.0f | %.0f | %.0f |\n", what, way.size(),
-              percentile(way, 0.5), percentile(way, 0.99), percentile(way, 0.999), percentile(way, 1), b.mean,
-              b.most, b.voters, b.worstMinute);
+void printRow(const char* what, const std::vector<double>& timer, const Bytes& b) {
+  std::printf("| %s | %zu | %.2f | %.2f | %.2f | %.2f | %.0f | %.0f | %.0f | %.0f |\n", what, timer.size(),
+              percentile(timer, 0.5), percentile(timer, 0.99), percentile(timer, 0.999), percentile(timer, 1),
+              b.mean, b.most, b.voters, b.worstMinute);
   std::fflush(stdout);
 }
 
-// All in one moment; everyone's view is brought up to date once, as with a rack that is killed. A view for
-// each of them would be the same one that many times over.
-void startTogether(VirtualChanges& w, const std::vector<int>& several) {
-  for (const int i : several) w.start(i, false);
-  for (const int i : several) w.tell(i);
-  w.viewChanged();
+// Starts several members at once and updates all views once, as when a rack is killed: an update for each of
+// them would only repeat the same view.
+void startAtOnce(VirtualChanges& fleet, const std::vector<int>& several) {
+  for (const int i : several) fleet.start(i, false);
+  for (const int i : several) fleet.tell(i);
+  fleet.viewChanged();
 }
 
-void atItsSize(int members, std::uint64_t seed) {
+void fleetAtSize(int members, std::uint64_t seed) {
   std::printf("\n%d members, 3 regions, 6 zones, 3 voters, loss 1 in 100, seed %llu\n", members,
               static_cast<unsigned long long>(seed));
   std::printf(
       "| run | changes | p50 s | p99 s | p99.9 s | last s | B/s a member, mean | most | voter | worst "
       "minute, B/s |\n"
       "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n");
-  VirtualChanges w(sized(members, seed));
-  Checker checker(w, false);
-  Way way(w);
-  w.loss = 0.01;
-  w.startAll();
-  w.run(10 * kSec);
-  begin(w, 1);
+  VirtualChanges fleet(largeFleet(members, seed));
+  Checker checker(fleet, false);
+  PropagationTimer timer(fleet);
+  fleet.loss = 0.01;
+  fleet.startAll();
+  fleet.run(10 * kSec);
+  beginGeneration(fleet, 1);
   for (int i = 0; i < 30; ++i) {
-    for (int k = 0; k < 10; ++k) w.propose(hundredBytes(w, 300));
-    w.run(kSec);
+    for (int k = 0; k < 10; ++k) fleet.propose(hundredByteChange(fleet, 300));
+    fleet.run(kSec);
   }
-  CHECK(checker.untilLevel(60 * kSec));
-  w.run(61 * kSec);
+  CHECK(checker.runUntilConverged(60 * kSec));
+  fleet.run(61 * kSec);
 
-  {  // an ordinary day, its changes four times as dense
-    const auto before = marks(w);
-    const Nanos since = w.now;
+  {  // ordinary traffic, with changes four times as frequent
+    const auto before = resetByteCounters(fleet);
+    const Nanos since = fleet.now;
     for (int i = 0; i < 100; ++i) {
-      way.propose(hundredBytes(w, 300));
-      w.run(kSec + w.draw(3 * kSec));
+      timer.propose(hundredByteChange(fleet, 300));
+      fleet.run(kSec + fleet.draw(3 * kSec));
     }
-    w.run(5 * kSec);
-    const auto seconds = way.seconds();
-    const auto bytes = bytesSince(w, before, since);
-    row("ordinary", seconds, bytes);
+    fleet.run(5 * kSec);
+    const auto seconds = timer.seconds();
+    const auto bytes = bytesSince(fleet, before, since);
+    printRow("ordinary", seconds, bytes);
     CHECK(percentile(seconds, 0.999) <= 5);
     CHECK(bytes.mean <= 2048 && bytes.most <= 2048 && bytes.worstMinute <= 6 * 1024);
-    CHECK(checker.untilLevel(30 * kSec));
+    CHECK(checker.runUntilConverged(30 * kSec));
   }
-  {  // an eighth at once; the view knows of it 13 s later
+  {  // an eighth of the members crash at once; views change 13 s later
     std::vector<int> rack;
-    for (int i = w.voters(); i < w.size(); ++i)
+    for (int i = fleet.voters(); i < fleet.size(); ++i)
       if (i % 8 == 3) rack.push_back(i);
-    const auto before = marks(w);
-    const Nanos since = w.now;
-    w.kill(rack);
+    const auto before = resetByteCounters(fleet);
+    const Nanos since = fleet.now;
+    fleet.kill(rack);
     std::vector<double> seconds;
     for (int i = 0; i < 110; ++i) {
-      way.propose(hundredBytes(w, 300));
-      w.run(w.draw(500 * kMs));
+      timer.propose(hundredByteChange(fleet, 300));
+      fleet.run(fleet.draw(500 * kMs));
     }
-    w.run(6 * kSec);
-    seconds = way.seconds();
-    row("an eighth lost", seconds, bytesSince(w, before, since));
+    fleet.run(6 * kSec);
+    seconds = timer.seconds();
+    printRow("an eighth lost", seconds, bytesSince(fleet, before, since));
     CHECK(percentile(seconds, 0.999) <= 5);
-    CHECK(checker.untilLevel(60 * kSec));
-    startTogether(w, rack);
-    CHECK(checker.untilLevel(120 * kSec));
+    CHECK(checker.runUntilConverged(60 * kSec));
+    startAtOnce(fleet, rack);
+    CHECK(checker.runUntilConverged(120 * kSec));
   }
-  checker.atTheEnd();
+  checker.checkFinalState();
   for (const auto& what : checker.violations) std::fprintf(stderr, "%s\n", what.c_str());
   CHECK(checker.violations.empty());
 }
 
-// A region cut off for as many changes as an hour has.
-void aRegionBack(int members, std::uint64_t seed) {
-  VirtualChanges w(sized(members, seed));
-  Checker checker(w, false);
-  w.loss = 0.01;
-  w.startAll();
-  w.run(10 * kSec);
-  begin(w, 1);
+// A region is partitioned for as many changes as an hour has.
+void regionReturns(int members, std::uint64_t seed) {
+  VirtualChanges fleet(largeFleet(members, seed));
+  Checker checker(fleet, false);
+  fleet.loss = 0.01;
+  fleet.startAll();
+  fleet.run(10 * kSec);
+  beginGeneration(fleet, 1);
   for (int i = 0; i < 10; ++i) {
-    for (int k = 0; k < 10; ++k) w.propose(hundredBytes(w, 300));
-    w.run(2 * kSec);
+    for (int k = 0; k < 10; ++k) fleet.propose(hundredByteChange(fleet, 300));
+    fleet.run(2 * kSec);
   }
-  CHECK(checker.untilLevel(60 * kSec));
-  w.run(60 * kSec);
+  CHECK(checker.runUntilConverged(60 * kSec));
+  fleet.run(60 * kSec);
   {
-    w.cut = [&w](int a, int b) { return (w.at(a).region == 1) != (w.at(b).region == 1); };
-    w.viewChanged();
-    const Nanos since = w.now;
-    for (int i = 0; i < 325; ++i) {  // in a tenth of an hour, which their bytes allow
-      w.propose(hundredBytes(w, 300));
-      w.run(kSec + w.draw(200 * kMs));
+    fleet.cut = [&fleet](int a, int b) { return (fleet.at(a).region == 1) != (fleet.at(b).region == 1); };
+    fleet.viewChanged();
+    const Nanos since = fleet.now;
+    for (int i = 0; i < 325; ++i) {  // within a tenth of an hour, which the byte budget allows
+      fleet.propose(hundredByteChange(fleet, 300));
+      fleet.run(kSec + fleet.draw(200 * kMs));
     }
-    Nanos youngest = w.now;
-    for (int i = 0; i < w.size(); ++i)
-      if (w.at(i).up && w.at(i).region == 1) youngest = std::min(youngest, w.at(i).node->age(w.now));
-    CHECK(youngest >= w.now - since - 2 * kSec);
-    const auto before = marks(w);
-    const Nanos healed = w.now;
-    w.cut = [](int, int) { return false; };
-    w.viewChanged();
-    while (!checker.everyoneLevel() && w.now < healed + 90 * kSec) w.run(100 * kMs);
-    const Nanos took = w.now - healed;
-    w.run(60 * kSec - std::min(took, 59 * kSec));
-    const auto bytes = bytesSince(w, before, healed);
+    Nanos youngest = fleet.now;
+    for (int i = 0; i < fleet.size(); ++i)
+      if (fleet.at(i).up && fleet.at(i).region == 1)
+        youngest = std::min(youngest, fleet.at(i).node->age(fleet.now));
+    CHECK(youngest >= fleet.now - since - 2 * kSec);
+    const auto before = resetByteCounters(fleet);
+    const Nanos healed = fleet.now;
+    fleet.cut = [](int, int) { return false; };
+    fleet.viewChanged();
+    while (!checker.converged() && fleet.now < healed + 90 * kSec) fleet.run(100 * kMs);
+    const Nanos convergenceTime = fleet.now - healed;
+    fleet.run(60 * kSec - std::min(convergenceTime, 59 * kSec));
+    const auto bytes = bytesSince(fleet, before, healed);
     std::printf(
         "| %d members, a region back after 325 changes: all level after %.1f s | | | | | | %.0f | %.0f | "
         "%.0f | %.0f |\n",
-        members, static_cast<double>(took) / 1e9, bytes.mean, bytes.most, bytes.voters, bytes.worstMinute);
-    CHECK(took <= 30 * kSec && bytes.worstMinute <= 6 * 1024 + 1);
+        members, static_cast<double>(convergenceTime) / 1e9, bytes.mean, bytes.most, bytes.voters,
+        bytes.worstMinute);
+    CHECK(convergenceTime <= 30 * kSec && bytes.worstMinute <= 6 * 1024 + 1);
   }
-  CHECK(checker.untilLevel(120 * kSec));
-  checker.atTheEnd();
+  CHECK(checker.runUntilConverged(120 * kSec));
+  checker.checkFinalState();
   for (const auto& what : checker.violations) std::fprintf(stderr, "%s\n", what.c_str());
   CHECK(checker.violations.empty());
 }
 
-void aMemberBack(int members, int keys, std::uint64_t seed) {
-  VirtualChanges w(sized(members, seed));
-  Checker checker(w, false);
-  w.startAll();
-  w.run(10 * kSec);
-  begin(w, 1);
+void memberReturns(int members, int keys, std::uint64_t seed) {
+  VirtualChanges fleet(largeFleet(members, seed));
+  Checker checker(fleet, false);
+  fleet.startAll();
+  fleet.run(10 * kSec);
+  beginGeneration(fleet, 1);
   for (int k = 0; k < keys;) {
     for (int i = 0; i < 10; ++i, ++k)
-      w.propose({"permit/cell-" + std::to_string(10000 + k), std::string(75, 'v'), 0});
-    w.run(5 * kSec);
+      fleet.propose({"permit/cell-" + std::to_string(10000 + k), std::string(75, 'v'), 0});
+    fleet.run(5 * kSec);
   }
-  CHECK(checker.untilLevel(900 * kSec));
-  w.run(300 * kSec);
-  w.loss = 0.01;
+  CHECK(checker.runUntilConverged(900 * kSec));
+  fleet.run(300 * kSec);
+  fleet.loss = 0.01;
   const auto back = [&](std::vector<int> who) {
-    for (const int i : who) w.at(i).up = false;
-    startTogether(w, who);
-    const Nanos since = w.now;
-    while (!checker.everyoneLevel() && w.now < since + 600 * kSec) w.run(100 * kMs);
+    for (const int i : who) fleet.at(i).up = false;
+    startAtOnce(fleet, who);
+    const Nanos since = fleet.now;
+    while (!checker.converged() && fleet.now < since + 600 * kSec) fleet.run(100 * kMs);
     std::printf("%d members, %zu keys, a register of %zu bytes: %zu started anew are level after %.1f s\n",
-                members, w.truth().all().size(), w.truth().write().size(), who.size(),
-                static_cast<double>(w.now - since) / 1e9);
+                members, fleet.truth().all().size(), fleet.truth().write().size(), who.size(),
+                static_cast<double>(fleet.now - since) / 1e9);
     std::fflush(stdout);
-    CHECK(checker.everyoneLevel());
-    w.run(300 * kSec);
+    CHECK(checker.converged());
+    fleet.run(300 * kSec);
   };
   back({members - 1});
   back({members - 2, members - 3, members - 4, members - 5});
-  CHECK(checker.untilLevel(60 * kSec));
-  checker.atTheEnd();
+  CHECK(checker.runUntilConverged(60 * kSec));
+  checker.checkFinalState();
   for (const auto& what : checker.violations) std::fprintf(stderr, "%s\n", what.c_str());
   CHECK(checker.violations.empty());
 }
 
-// What a member has asked of a voter itself: whole where it is later, never back, never at a voter.
-void adoptsWhatIsLater() {
+// A register requested from a voter is taken as a whole if it is later, never goes back, and is ignored at a
+// voter.
+void adoptsLaterRegistersOnly() {
   agreement::Register first;
   CHECK(first.apply({"a", "1", 0}).done);
   auto later = first, younger = agreement::Register();
   CHECK(later.apply({"b", "2", 0}).done);
   CHECK(younger.apply({kGenerationKey, "7", 0}).done);
   dissemination::Settings settings;
-  settings.self = "m", settings.voters = {"v"};
+  settings.self = "m";
+  settings.voters = {"v"};
   Disseminator member(settings);
   member.adopt(first, 1);
   CHECK(member.held() == first && (member.position() == Position{0, 1}));
@@ -1116,10 +1164,11 @@
   CHECK(member.held() == later);
   member.adopt(first, 3);
   CHECK(member.held() == later && (member.position() == Position{0, 2}));
-  member.adopt(younger, 4);  // of voters whose state began anew
+  member.adopt(younger, 4);  // a new generation of the voters' state
   CHECK(member.held() == younger && (member.position() == Position{7, 1}));
-  CHECK(member.age(5) < 0);  // nobody has vouched for it
-  settings.self = "v", settings.votes = true;
+  CHECK(member.age(5) < 0);  // no voter has confirmed it
+  settings.self = "v";
+  settings.votes = true;
   Disseminator voter(settings);
   voter.adopt(later, 1);
   CHECK(voter.held() == agreement::Register() && voter.position() == Position{});
@@ -1128,59 +1177,61 @@
 }  // namespace
 }  // namespace topazweir::test
 
-// One case, and the seeds of the schedules from the first to the last one or the number of members (keys for
-// "member") of a run at size; no case: all of them. The usual seeds also in kParts parts, to be played side
-// by side.
+// Arguments: a case; then, for "schedules", the first and last seed, and for large fleets the number of
+// members (keys for "member"). Without a case all of them run. "schedules_N" runs one of kScheduleParts parts
+// of the default seeds, for parallel runs.
 //   topazweir_dissemination_test schedules 1 1500
 //   topazweir_dissemination_test schedules_1
 //   topazweir_dissemination_test size 2000
-// Under the sanitizers the usual ones are fewer and smaller: schedules 300 instead of 1,500, members 400
-// instead of 2,000 (600 and 120 with a region cut off), keys 2,000 instead of 9,900.
+// The defaults under the sanitizers are smaller: schedules 300 instead of 1,500, members 400 instead of 2,000
+// (with a region partitioned 120 instead of 600), keys 2,000 instead of 9,900.
 #if defined(__SANITIZE_ADDRESS__)
 constexpr std::uint64_t kSchedules = 300;
-constexpr int kMembers = 400, kKeys = 2000;
+constexpr int kMembers = 400;
+constexpr int kKeys = 2000;
 #else
 constexpr std::uint64_t kSchedules = 1500;
-constexpr int kMembers = 2000, kKeys = 9900;
+constexpr int kMembers = 2000;
+constexpr int kKeys = 9900;
 #endif
-constexpr std::uint64_t kParts = 3;
+constexpr std::uint64_t kScheduleParts = 3;
 
-int main(int count, char** words) {
+int main(int argc, char** argv) {
   using namespace topazweir::test;
-  const std::string only = count > 1 ? words[1] : "";
-  int played = 0;
-  const auto plays = [&](const std::string& name) { return (only.empty() || only == name) && ++played; };
-  const auto number = [&](int usual) { return count > 2 ? std::atoi(words[2]) : usual; };
-  if (plays("adopts")) adoptsWhatIsLater();
-  if (plays("codec")) {
-    messagesWithFewerFieldsAreBroken();
-    fieldsOfLaterVersionsArePassedOver();
+  const std::string only = argc > 1 ? argv[1] : "";
+  int casesRun = 0;
+  const auto selected = [&](const std::string& name) { return (only.empty() || only == name) && ++casesRun; };
+  const auto sizeOr = [&](int defaultSize) { return argc > 2 ? std::atoi(argv[2]) : defaultSize; };
+  if (selected("adopts")) adoptsLaterRegistersOnly();
+  if (selected("codec")) {
+    messagesWithMissingFieldsAreMalformed();
+    appendedFieldsAreIgnored();
   }
-  if (plays("member_alone")) {
-    aChangingViewKeepsNobodyAway();
-    whatAHoleWaitsForIsCounted();
-    whoStoodStillVouchesForNothing();
-    whoStoodStillBlamesNobody();
-    whoClaimsAndBringsNothingIsLeft(false);
-    whoClaimsAndBringsNothingIsLeft(true);
-    doubtsAreOfOneParent();
-    aLaterGenerationThanTheVotersIsLeft(true);
-    aLaterGenerationThanTheVotersIsLeft(false);
-    whatIsPassedOverIsCounted();
+  if (selected("member_alone")) {
+    frequentViewChangesDoNotDelayThePreferredParent();
+    deferredGapChangesAreCounted();
+    stalledVoterConfirmsNothing();
+    stalledMemberKeepsItsParent();
+    parentWithoutProgressIsLeft(false);
+    parentWithoutProgressIsLeft(true);
+    divergenceConcernsOneParentOnly();
+    unknownLaterGenerationIsGivenUp(true);
+    unknownLaterGenerationIsGivenUp(false);
+    ignoredMessagesAreCounted();
   }
-  if (plays("mistakes")) seededMistakesAreFound();
-  if (plays("broken"))
-    for (std::uint64_t seed = 1; seed <= 3; ++seed) brokenBytesChangeNothing(seed);
+  if (selected("mistakes")) injectedFaultsAreDetected();
+  if (selected("broken"))
+    for (std::uint64_t seed = 1; seed <= 3; ++seed) malformedBytesChangeNothing(seed);
   if (only == "schedules") {
-    const Seeds seeds(count - 1, words + 1, kSchedules);
+    const Seeds seeds(argc - 1, argv + 1, kSchedules);
     schedules(seeds.first, seeds.last);
-    ++played;
+    ++casesRun;
   }
-  for (std::uint64_t part = 0; part < kParts; ++part)
-    if (plays("schedules_" + std::to_string(part + 1)))
-      schedules(kSchedules * part / kParts + 1, kSchedules * (part + 1) / kParts);
-  if (plays("size")) atItsSize(number(kMembers), 1);
-  if (plays("region")) aRegionBack(number(kMembers * 3 / 10), 1);
-  if (plays("member")) aMemberBack(60, number(kKeys), 1);
-  CHECK(played > 0);  // else there is no such case
+  for (std::uint64_t part = 0; part < kScheduleParts; ++part)
+    if (selected("schedules_" + std::to_string(part + 1)))
+      schedules(kSchedules * part / kScheduleParts + 1, kSchedules * (part + 1) / kScheduleParts);
+  if (selected("size")) fleetAtSize(sizeOr(kMembers), 1);
+  if (selected("region")) regionReturns(sizeOr(kMembers * 3 / 10), 1);
+  if (selected("member")) memberReturns(60, sizeOr(kKeys), 1);
+  CHECK(casesRun > 0);  // otherwise the case is unknown
 }
--- a/tests/dissemination_world.hpp
+++ b/tests/dissemination_world.hpp
@@ -1,7 +1,7 @@
-// The one checker of the drawn schedules: what each member holds is what the voters agreed on up to some
-// number, whole and never earlier than before; it has no fresher news than can have reached it; nobody sends
-// more than its budget or takes more children than it may; in the end all have everything, and the leader's
-// counts say so.
+// Checks the invariants of dissemination in simulated schedules: each member holds a prefix of the committed
+// log, as a whole, and never goes back; its state is not considered fresher than any confirmation that can
+// have reached it; no member exceeds its send budget or its limit of children; in the end all members have
+// converged and the leader's counts show it.
 #pragma once
 
 #include <algorithm>
@@ -19,75 +19,78 @@
 namespace topazweir::test {
 
 using lab::VirtualChanges;
-constexpr Nanos kMs = 1'000'000, kSec = 1000 * kMs;
+constexpr Nanos kMs = 1'000'000;
+constexpr Nanos kSec = 1000 * kMs;
 
 class Checker {
  public:
-  // `deep`: each register is compared as a whole each time it changes; else by its number, and whole at the
-  // end.
-  Checker(VirtualChanges& world, bool deep) : world_(world), deep_(deep), seenOf_(world.size()) {
-    world_.agreedOn = [this] { agreed(); };
-    world_.started = [this](int i) { of(i) = {}; };
-    world_.stepped = [this](int i) { stepped(i); };
-    agreed();
+  // `deep`: compares each register by content whenever it changes; otherwise by its number, and by content at
+  // the end.
+  Checker(VirtualChanges& fleet, bool deep) : fleet_(fleet), deep_(deep), observed_(fleet.size()) {
+    fleet_.agreedOn = [this] { onCommitted(); };
+    fleet_.started = [this](int i) { of(i) = {}; };
+    fleet_.stepped = [this](int i) { onStep(i); };
+    onCommitted();
   }
-  // What a member is made to seem to hold, for mistakes that are seeded; none: what it holds.
-  std::function<const agreement::Register*(int)> seeded = nullptr;
+  // Fault injection: replaces the register of a member as observed by this checker; null: the member's own
+  // register.
+  std::function<const agreement::Register*(int)> injectedRegister = nullptr;
   const agreement::Register& held(int i) const {
-    const auto* other = seeded ? seeded(i) : nullptr;
-    return other ? *other : world_.at(i).node->held();
+    const auto* other = injectedRegister ? injectedRegister(i) : nullptr;
+    return other ? *other : fleet_.at(i).node->held();
   }
   std::size_t extraChildren = 0;
 
-  bool everyoneLevel() const {
-    for (int i = 0; i < world_.size(); ++i)
-      if (world_.at(i).up &&
-          !(held(i).commands() == world_.truth().commands() && position(held(i)) == position(world_.truth())))
+  bool converged() const {
+    for (int i = 0; i < fleet_.size(); ++i)
+      if (fleet_.at(i).up &&
+          !(held(i).commands() == fleet_.truth().commands() && position(held(i)) == position(fleet_.truth())))
         return false;
     return true;
   }
   int running() const {
     int count = 0;
-    for (int i = 0; i < world_.size(); ++i) count += world_.at(i).up;
+    for (int i = 0; i < fleet_.size(); ++i) count += fleet_.at(i).up;
     return count;
   }
-  bool counted() const {
-    const auto sum = world_.at(world_.leader()).node->inForce();
+  bool countsMatch() const {
+    const auto sum = fleet_.at(fleet_.leader()).node->inForce();
     const auto all = static_cast<std::uint64_t>(running());
-    return sum.members == all && sum.level == all && sum.low == position(world_.truth()) &&
+    return sum.members == all && sum.level == all && sum.low == position(fleet_.truth()) &&
            sum.slowest.empty();
   }
-  // Runs until all have everything and the leader's counts say so; false: not within the limit.
-  bool untilLevel(Nanos limit) {
-    for (const Nanos end = world_.now + limit; world_.now < end;) {
-      if (everyoneLevel() && counted()) return true;
-      world_.run(100 * kMs);
+  // Runs until all members have converged and the leader's counts show it; false: not within the limit.
+  bool runUntilConverged(Nanos limit) {
+    for (const Nanos end = fleet_.now + limit; fleet_.now < end;) {
+      if (converged() && countsMatch()) return true;
+      fleet_.run(100 * kMs);
     }
-    return everyoneLevel() && counted();
+    return converged() && countsMatch();
   }
-  void atTheEnd() {
-    if (!everyoneLevel()) note("not everyone has everything in the end");
-    if (!counted()) note("the leader's counts are not the fleet's");
-    for (int i = 0; i < world_.size(); ++i)
-      if (world_.at(i).up && !(held(i) == world_.truth())) note("a register differs in the end");
-    budgets();
+  void checkFinalState() {
+    if (!converged()) addViolation("members have not converged at the end");
+    if (!countsMatch()) addViolation("the leader's counts differ from the fleet's");
+    for (int i = 0; i < fleet_.size(); ++i)
+      if (fleet_.at(i).up && !(held(i) == fleet_.truth())) addViolation("a register differs at the end");
+    checkBudgets();
   }
-  void budgets() {
-    const auto& s = world_.options().settings;
-    const auto minute = static_cast<std::uint64_t>(s.bytesPerSecond * 60) + s.burstBytes + 1;
-    // Twice what leaves in a tenth of a second, and words, which do not wait for that.
-    const std::uint64_t tick = 2 * 32 * 1024 + 16 * 1024;
-    for (int i = 0; i < world_.size(); ++i) {
-      if (world_.at(i).worstMinute > minute) note("more sent in a minute than the budget has");
-      if (world_.at(i).worstTick > tick) note("more sent at once than may be");
+  void checkBudgets() {
+    const auto& s = fleet_.options().settings;
+    const auto maxPerMinute = static_cast<std::uint64_t>(s.bytesPerSecond * 60) + s.burstBytes + 1;
+    // Twice the data burst of a tenth of a second, plus control messages, which are not paced.
+    const std::uint64_t maxPerTick = 2 * 32 * 1024 + 16 * 1024;
+    for (int i = 0; i < fleet_.size(); ++i) {
+      if (fleet_.at(i).worstMinute > maxPerMinute)
+        addViolation("sent more in a minute than the budget allows");
+      if (fleet_.at(i).worstTick > maxPerTick) addViolation("sent more at once than the budget allows");
     }
   }
-  void note(const std::string& what) { violations.insert(what); }
+  void addViolation(const std::string& what) { violations.insert(what); }
 
   std::set<std::string> violations;
 
-  // A message that waited in the socket of a member which stood still for less than the module notices.
-  static constexpr Nanos kUncertain = 600 * kMs;
+  // A message may have waited in the socket of a member whose stall was too short for the module to notice.
+  static constexpr Nanos kMaxUnnoticedDelayNs = 600 * kMs;
 
   static dissemination::Position position(const agreement::Register& r) {
     const auto* at = r.find(dissemination::kGenerationKey);
@@ -97,9 +100,9 @@
   }
 
  private:
-  struct Seen {
+  struct Observed {
     dissemination::Position at;
-    Nanos agedAt = 0;
+    Nanos ageCheckedAt = 0;
   };
   static std::uint64_t digest(const agreement::Register& r) {
     std::uint64_t h = 1469598103934665603u;
@@ -108,66 +111,72 @@
       h = (h ^ 0x1ff) * 1099511628211u;
     };
     for (const auto& [key, held] : r.all()) {
-      mix(key), mix(held.value);
+      mix(key);
+      mix(held.value);
       h = (h ^ held.fence) * 1099511628211u;
     }
     return h;
   }
-  Seen& of(int i) { return seenOf_[static_cast<std::size_t>(i)]; }
-  void agreed() {
-    const auto& truth = world_.truth();
-    if (deep_) prefixes_[truth.commands()].insert(digest(truth));
+  Observed& of(int i) { return observed_[static_cast<std::size_t>(i)]; }
+  void onCommitted() {
+    const auto& truth = fleet_.truth();
+    if (deep_) committedDigests_[truth.commands()].insert(digest(truth));
   }
-  void stepped(int i) {
-    auto& seen = of(i);
-    auto& m = world_.at(i);
-    const auto& register_ = held(i);
-    // A register of the same number that is another one: looked for where all is compared.
-    if (register_.commands() != seen.at.number || (deep_ && position(register_) != seen.at)) {
-      const auto at = position(register_);
-      if (at < seen.at) note("a register went back");
-      seen.at = at;
+  void onStep(int i) {
+    auto& observed = of(i);
+    auto& m = fleet_.at(i);
+    const auto& registerHeld = held(i);
+    // Another register with the same number is detected by deep checkers only.
+    if (registerHeld.commands() != observed.at.number || (deep_ && position(registerHeld) != observed.at)) {
+      const auto at = position(registerHeld);
+      if (at < observed.at) addViolation("a register went back");
+      observed.at = at;
       if (deep_) {
-        const auto known = prefixes_.find(at.number);
-        if (known == prefixes_.end() || !known->second.contains(digest(register_)))
-          note("a register is not what was agreed on up to any number");
+        const auto known = committedDigests_.find(at.number);
+        if (known == committedDigests_.end() || !known->second.contains(digest(registerHeld)))
+          addViolation("a register matches no committed prefix of the log");
       }
     }
-    const auto& s = world_.options().settings;
-    const auto share = s.relays.empty() ? 0 : static_cast<std::size_t>(world_.size());  // of one relay left
-    if (m.node->children() + extraChildren > 2 * std::max(s.fanOut, share))
-      note("more children than twice the fan-out");
-    if (m.votes && world_.led(i)) low(at_(i));
-    if (world_.now < seen.agedAt) return;
-    seen.agedAt = world_.now + 500 * kMs;
-    const Nanos age = m.node->age(world_.now);
+    const auto& s = fleet_.options().settings;
+    const auto maxShare =
+        s.relays.empty() ? 0 : static_cast<std::size_t>(fleet_.size());  // all members, if one relay is left
+    if (m.node->children() + extraChildren > 2 * std::max(s.fanOut, maxShare))
+      addViolation("more children than twice the fan-out");
+    if (m.votes && fleet_.led(i)) recordVoterPosition(positionOf(i));
+    if (fleet_.now < observed.ageCheckedAt) return;
+    observed.ageCheckedAt = fleet_.now + 500 * kMs;
+    const Nanos age = m.node->age(fleet_.now);
     if (age < 0) return;
-    const Nanos since = world_.now - age;
-    if (since > m.freshest + kUncertain) note("an age that nothing which arrived allows");
-    // What was vouched for then: some voter that knew of a leader had no more than this.
-    if (!m.votes && lowest(since) > seen.at) note("an old state held to be fresh");
+    const Nanos since = fleet_.now - age;
+    if (since > m.freshest + kMaxUnnoticedDelayNs)
+      addViolation("an age younger than any confirmation received");
+    // The state must be at least as new as that of some voter that knew of a leader at the confirmed time.
+    if (!m.votes && lowestVoterPosition(since) > observed.at) addViolation("a stale state considered fresh");
   }
-  dissemination::Position at_(int i) const { return position(world_.at(i).node->held()); }
-  // The lowest position of a led voter in each 100 ms.
-  void low(const dissemination::Position& at) {
-    const Nanos slot = world_.now / (100 * kMs);
-    const auto [found, fresh] = low_.try_emplace(slot, at);
+  dissemination::Position positionOf(int i) const { return position(fleet_.at(i).node->held()); }
+  // Records the lowest position, per 100 ms, of the voters that know of a leader.
+  void recordVoterPosition(const dissemination::Position& at) {
+    const Nanos slot = fleet_.now / (100 * kMs);
+    const auto [found, fresh] = lowestVoterPosition_.try_emplace(slot, at);
     if (!fresh) found->second = std::min(found->second, at);
   }
-  dissemination::Position lowest(Nanos when) const {
+  dissemination::Position lowestVoterPosition(Nanos when) const {
     const Nanos slot = when / (100 * kMs);
-    auto at = low_.lower_bound(slot - 3);
+    auto at = lowestVoterPosition_.lower_bound(slot - 3);
     dissemination::Position out{~0ull, ~0ull};
     bool any = false;
-    for (; at != low_.end() && at->first <= slot + 3; ++at) out = std::min(out, at->second), any = true;
+    for (; at != lowestVoterPosition_.end() && at->first <= slot + 3; ++at) {
+      out = std::min(out, at->second);
+      any = true;
+    }
     return any ? out : dissemination::Position{};
   }
 
-  VirtualChanges& world_;
+  VirtualChanges& fleet_;
   bool deep_;
-  std::vector<Seen> seenOf_;
-  std::unordered_map<std::uint64_t, std::set<std::uint64_t>> prefixes_;
-  std::map<Nanos, dissemination::Position> low_;
+  std::vector<Observed> observed_;
+  std::unordered_map<std::uint64_t, std::set<std::uint64_t>> committedDigests_;
+  std::map<Nanos, dissemination::Position> lowestVoterPosition_;
 };
 
 }  // namespace topazweir::test
--- a/tests/membership_parts_test.cpp
+++ b/tests/membership_parts_test.cpp
@@ -1,5 +1,6 @@
-// Membership's smaller parts: messages as bytes, shares of common limits, the standing, the block of the
-// operator file, the table of views, what voters hand on of what they have applied.
+// Unit tests around membership: message encoding, shares of common limits, the membership state, the
+// membership block of the operator file, the table that compares views, and the commands that voters pass on
+// as applied.
 #include <algorithm>
 #include <deque>
 #include <random>
@@ -26,7 +27,7 @@
   return {name, "127.0.0.1:" + name.substr(1), "zone", "0.1.0", incarnation, state, "", {3, Duty::serving}};
 }
 
-Message full() {
+Message fullMessage() {
   Message m{.kind = Kind::ack, .sender = "n1", .from = "127.0.0.1:1", .about = "n2", .sequence = 1ULL << 60};
   m.load = {7, 250};
   for (int i = 0; i < 5; ++i) m.news.push_back(record("n" + std::to_string(i), State::suspect, 1ULL << 40));
@@ -34,8 +35,8 @@
   return m;
 }
 
-void messagesComeBackWhole() {
-  const auto bytes = fleet::encode(full(), "f");
+void messagesRoundTrip() {
+  const auto bytes = fleet::encode(fullMessage(), "f");
   const auto read = std::get<Message>(fleet::decode(bytes, "f"));
   CHECK(read.kind == Kind::ack && read.sender == "n1" && read.from == "127.0.0.1:1" && read.about == "n2");
   CHECK(read.sequence == 1ULL << 60 && read.load == (Load{7, 250}) && read.size == bytes.size());
@@ -45,9 +46,9 @@
   CHECK(std::get<fleet::Unread>(fleet::decode(bytes, "g")) == fleet::Unread::foreign);
 }
 
-// Cut off at each byte, with a byte of each altered, and pure noise: never read as something that it is not.
-void brokenBytesAreTold() {
-  const auto bytes = fleet::encode(full(), "f");
+// Truncation at each byte, corrupted bytes and random noise must never decode to an out-of-bounds message.
+void malformedBytesAreRejected() {
+  const auto bytes = fleet::encode(fullMessage(), "f");
   for (std::size_t i = 0; i < bytes.size(); ++i)
     CHECK(std::holds_alternative<fleet::Unread>(fleet::decode(std::string_view(bytes).substr(0, i), "f")));
   CHECK(std::holds_alternative<fleet::Unread>(fleet::decode(bytes + "x", "f")));
@@ -64,19 +65,19 @@
   }
 }
 
-// What later forms put behind the known elements is passed over; a later version is told as such.
-void laterFormsAreTold() {
+// Elements that later versions append are ignored; an incompatible version is reported as such.
+void laterVersionsAreRecognised() {
   Message m{.kind = Kind::ping, .sender = "a", .from = "b", .about = "c"};
   auto bytes = fleet::encode(m, "f");
-  bytes[0] = static_cast<char>(bytes[0] + 1);  // one element more
+  bytes[0] = static_cast<char>(bytes[0] + 1);  // array of one more element
   CHECK(std::holds_alternative<Message>(fleet::decode(bytes + '\x05', "f")));
   bytes = fleet::encode(m, "f");
   bytes[4] = 2;
   CHECK(std::get<fleet::Unread>(fleet::decode(bytes, "f")) == fleet::Unread::otherVersion);
 }
 
-// Datagrams are filled by weight(), so that no record may take more on the wire.
-void weightsBoundTheBytes() {
+// Datagrams are filled by weight(), so no record may take more bytes on the wire.
+void weightBoundsTheEncodedBytes() {
   const std::string most(kMostText, 'x');
   for (const auto& r :
        {record("n1"), Record{most, most, most, most, ~0ULL, State::left, most, {~0ULL, {}}}}) {
@@ -87,7 +88,7 @@
   }
 }
 
-Detector holding(const std::vector<Record>& others) {
+Detector detectorKnowing(const std::vector<Record>& others) {
   Detector detector({}, record("n5"));
   detector.join({}, kSec);
   Message m{.kind = Kind::syncReply, .news = others};
@@ -95,37 +96,39 @@
   return detector;
 }
 
-void sharesAreCautious() {
+void sharesFollowTheHighestRecentCount() {
   Sharers sharers(60 * kSec, 4);
-  CHECK(sharers.now(holding({}), kSec) == (Share{4, 0}));  // as configured, until others can have been seen
+  CHECK(sharers.now(detectorKnowing({}), kSec) ==
+        (Share{4, 0}));  // the configured count, until other members can have been seen
   const std::vector<Record> many{record("n1"),
                                  record("n2"),
                                  record("n3", State::suspect),
                                  record("n4", State::failed),
                                  record("n6", State::left),
                                  record("n7")};
-  CHECK(sharers.now(holding(many), 2 * kSec) ==
-        (Share{6, 4}));  // who may be cut off counts, who has left does not
-  CHECK(sharers.now(holding({record("n1")}), 3 * kSec).count == 6);
-  CHECK(sharers.now(holding({record("n1")}), 61 * kSec).count == 6);
-  CHECK(sharers.now(holding({record("n1"), record("n2")}), 62 * kSec) == (Share{3, 2}));
-  CHECK(sharers.now(holding({record("n1")}), 121 * kSec).count == 3);
-  CHECK(sharers.now(holding({record("n1")}), 130 * kSec) == (Share{2, 1}));
+  CHECK(sharers.now(detectorKnowing(many), 2 * kSec) ==
+        (Share{6, 4}));  // failed members may be partitioned and count; left ones do not
+  CHECK(sharers.now(detectorKnowing({record("n1")}), 3 * kSec).count == 6);
+  CHECK(sharers.now(detectorKnowing({record("n1")}), 61 * kSec).count == 6);
+  CHECK(sharers.now(detectorKnowing({record("n1"), record("n2")}), 62 * kSec) == (Share{3, 2}));
+  CHECK(sharers.now(detectorKnowing({record("n1")}), 121 * kSec).count == 3);
+  CHECK(sharers.now(detectorKnowing({record("n1")}), 130 * kSec) == (Share{2, 1}));
 }
 
-void standingGoesByTheVoters() {
+void standingDependsOnReachableVoters() {
   const std::vector<std::string> voters{"n1", "n2", "n5"};
-  CHECK(standing(holding({}), voters, true) == Standing::alone);
-  CHECK(standing(holding({record("n3")}), voters, true) == Standing::minority);
-  CHECK(standing(holding({record("n1", State::suspect)}), voters, true) == Standing::alone);
-  CHECK(standing(holding({record("n1")}), voters, true) == Standing::agreed);
-  CHECK(standing(holding({record("n1")}), {}, true) ==
-        Standing::minority);  // nobody decides: nothing is agreed
-  CHECK(standing(holding({}), {"n5"}, true) == Standing::agreed);
-  CHECK(standing(holding({record("n1")}), voters, false) == Standing::minority);  // no leader is known
+  CHECK(standing(detectorKnowing({}), voters, true) == Standing::alone);
+  CHECK(standing(detectorKnowing({record("n3")}), voters, true) == Standing::minority);
+  CHECK(standing(detectorKnowing({record("n1", State::suspect)}), voters, true) == Standing::alone);
+  CHECK(standing(detectorKnowing({record("n1")}), voters, true) == Standing::agreed);
+  CHECK(standing(detectorKnowing({record("n1")}), {}, true) ==
+        Standing::minority);  // without voters there is no majority
+  CHECK(standing(detectorKnowing({}), {"n5"}, true) == Standing::agreed);
+  CHECK(standing(detectorKnowing({record("n1")}), voters, false) ==
+        Standing::minority);  // no leader is known
 }
 
-void loadIsOfLate() {
+void loadCoversRecentRequests() {
   LoadMeter meter;
   CHECK(meter.now({3, 100, 50}, 100 * kSec) == (Load{3, 500}));
   CHECK(meter.now({0, 200, 50}, 106 * kSec).refusedPermille == 0);
@@ -133,18 +136,18 @@
   CHECK(meter.now({0, 300, 150}, 130 * kSec).refusedPermille == 0);
 }
 
-// An address that says far less than it gets: bounded by what came.
-void answersAreBoundedByTheirQuestions() {
+// Amplification: the bytes of an answer are bounded by those of its request.
+void answersAreBoundedByTheirRequests() {
   std::vector<Record> many;
   for (int i = 10; i < 60; ++i) many.push_back(record("n" + std::to_string(i)));
-  auto detector = holding(many);
+  auto detector = detectorKnowing(many);
   Message question{.kind = Kind::ping, .sender = "x", .from = "127.0.0.1:99", .about = "n5"};
   question.size = fleet::encode(question, "f").size();
   const auto step = detector.received(question, kSec);
   CHECK(step.out.size() == 1 && fleet::encode(step.out[0].message, "f").size() <= 3 * question.size);
 }
 
-std::string faultOf(const std::string& block) {
+std::string configErrorOf(const std::string& block) {
   try {
     config::readOperator("membership {\n" + block + "\n}\n", "o.hcl", config::standalone(0));
   } catch (const config::ConfigError& error) {
@@ -153,12 +156,12 @@
   return {};
 }
 
-void wrongBlocksAreNamed() {
+void configErrorsNameTheKey() {
   const std::string good = "name = \"n1\"\nfleet = \"f\"\nlisten = \"127.0.0.1:1\"\n";
-  CHECK(faultOf(good).empty());
-  CHECK(faultOf(good + R"(voter "n1" { address = "127.0.0.1:1" })").empty());
+  CHECK(configErrorOf(good).empty());
+  CHECK(configErrorOf(good + R"(voter "n1" { address = "127.0.0.1:1" })").empty());
   const auto names = [&](const std::string& block, const std::string& key) {
-    const auto fault = faultOf(block);
+    const auto fault = configErrorOf(block);
     return fault.starts_with("o.hcl:") && fault.find("key membership." + key) != std::string::npos;
   };
   CHECK(names("fleet = \"f\"\nlisten = \"127.0.0.1:1\"", "name"));
@@ -176,17 +179,20 @@
   CHECK(names(good + voter("n1", 1) + voter("n2", 2), "voter"));                   // even
   CHECK(names(good + voter("n2", 2) + voter("n2", 3) + voter("n3", 4), "voter"));  // a name twice
   CHECK(names(good + voter("n2", 2) + voter("n3", 2) + voter("n4", 4), "voter"));  // an address twice
-  CHECK(names(good + voter("n1", 2) + voter("n2", 3) + voter("n3", 4), "voter"));  // not where it hears
-  CHECK(names(good + voter("n2", 1) + voter("n3", 3) + voter("n4", 4), "voter"));  // somebody else there
+  CHECK(
+      names(good + voter("n1", 2) + voter("n2", 3) + voter("n3", 4), "voter"));  // not its own listen address
+  CHECK(names(good + voter("n2", 1) + voter("n3", 3) + voter("n4", 4),
+              "voter"));  // another voter has its listen address
   CHECK(names(good + "fanOut = 1", "fanOut") && names(good + "fanOut = 65", "fanOut"));
   CHECK(names(good + "changeBytesPerS = 511", "changeBytesPerS"));
   CHECK(names(good + "relays = [\"n 2\"]", "relays") && names(good + "relays = [\"\"]", "relays"));
   CHECK(names(good + "relays = [\"n2\", \"n2\"]", "relays") && names(good + "relays = \"n2\"", "relays"));
-  CHECK(names(good + voter("n1", 1) + "relays = [\"n1\"]", "relays"));  // relays in any case
+  CHECK(names(good + voter("n1", 1) + "relays = [\"n1\"]",
+              "relays"));  // a voter relays anyway and must not be listed
   CHECK(names(good + "relays = [\"" + std::string(65, 'x') + "\"]", "relays"));
 }
 
-void disseminationIsConfigured() {
+void disseminationSettingsAreRead() {
   const std::string head = "membership {\nname = \"n1\"\nfleet = \"f\"\nlisten = \"127.0.0.1:1\"\n";
   const auto read = [&](const std::string& more) {
     return config::readOperator(head + more + "}\n", "o.hcl", config::standalone(0));
@@ -206,7 +212,7 @@
   CHECK(shows(given, "relays", R"(["n2", "n3"])") && shows(given, "fanOut", "4"));
 }
 
-void differencesAreShownSideBySide() {
+void differencesBetweenViewsAreMarked() {
   const std::string head = "ACK self=n1 fleet=f standing=agreed alive=2 known=2 doubts=0\n";
   const auto one = cli::readView(
       "127.0.0.1:1", head + "n1 alive serving 5 0 - 1 a:1 0 0\nn2 alive serving 5 0 - 1 a:2 3 9\n");
@@ -222,8 +228,8 @@
   CHECK(cli::compare({one, cli::readView("a", "")}).find("# a: no answer") != std::string::npos);
 }
 
-// By the leader's word alone; heads from before it have none.
-void whatIsInForceIsShown() {
+// Only the leader's counts cover the fleet; head lines of older versions have no such fields.
+void fleetProgressIsShown() {
   const std::string head = "ACK self=n1 fleet=f standing=agreed alive=6 known=6 doubts=0 leader=",
                     row = "\nn1 alive serving 5 0 - 1 a:1 0 0\n";
   const auto shown = [&](const std::string& more) {
@@ -243,9 +249,10 @@
   CHECK(shown("- term=2 decided=0").find("in force") == std::string::npos);
 }
 
-// What an earlier process of this name has said of its version is refuted: what the others send goes by it.
-void aStaleVersionIsRefuted() {
-  auto detector = holding({});
+// A version announced by an earlier process of this name is refuted, since peers choose the message format by
+// it.
+void staleVersionIsRefuted() {
+  auto detector = detectorKnowing({});
   auto stale = detector.self();
   stale.version = "0.0.9";
   const auto before = detector.self().incarnation;
@@ -255,17 +262,18 @@
   CHECK(detector.self().incarnation == before + 1 && detector.self().version == "0.1.0");
 }
 
-// Three voters in memory, messages without delay. The third one is cut off until the others' log no longer
-// reaches back to what it has: it gets a snapshot, which no list of commands may lead over.
-void appliedCommandsAreHandedOn() {
+// Three voters in memory, messages without delay. The third one is partitioned until the others' log no
+// longer reaches back to its position, so that it gets a snapshot; the commands passed on must not bridge
+// that gap.
+void appliedCommandsArePassedOn() {
   using namespace agreement;
   std::vector<MemoryStore> stores(3);
   std::vector<std::unique_ptr<Voter>> voters;
-  std::vector<Register> rebuilt(3);  // by the commands handed on, or taken whole
+  std::vector<Register> rebuilt(3);  // from the commands passed on, or taken as a whole
   std::vector<std::size_t> whole(3), commands(3);
   std::deque<std::pair<VoterId, Voter::Out>> wire;
   Nanos now = kSec;
-  bool cut = true;  // the third voter
+  bool cut = true;  // the third voter is partitioned
   const auto carry = [&](VoterId id, Voter::Step step) {
     for (auto& out : step.out) wire.emplace_back(id, std::move(out));
     auto& mine = rebuilt[id - 1];
@@ -311,7 +319,7 @@
   run([&] { return leader() > 0; });
   cut = false;
   ask("a", 0);
-  ask("a", 0);  // without effect, and handed on all the same
+  ask("a", 0);  // has no effect, but is passed on all the same
   run([&] { return voters[2]->held().commands() >= 2; });
   CHECK(rebuilt[2].commands() == voters[2]->held().commands() && commands[2] >= 2 && whole[2] == 0);
   cut = true;
@@ -322,10 +330,11 @@
   CHECK(rebuilt[0] == rebuilt[2] && commands[leader() - 1] >= 60);
 }
 
-// The first leader writes when this state of the voters began, before anything else; later ones leave it.
-void theGenerationIsWrittenOnce() {
+// The first leader writes the generation of a new voters' state before anything else; later leaders keep it.
+void generationIsWrittenOnce() {
   config::Membership config;
-  config.name = "n1", config.fleet = "f";
+  config.name = "n1";
+  config.fleet = "f";
   config.voters = {{"n1", "127.0.0.1:1"}};
   config.state = scratchFolder("generation");
   config.period = kSec;
@@ -351,20 +360,20 @@
   }
 }
 
-// Messages as a build of c4fcc21 wrote them, the last one before the dissemination; it read its own and, of
-// this version, the question with a generation behind it ("kind 7 ... sequence 2"), and counted a message of
-// the dissemination as broken: nothing of it is done there. So members of both go on side by side: who is of
-// before goes on being told by asking.
-std::string ofHex(std::string_view hex) {
+// Messages as encoded by commit c4fcc21, the last version before dissemination was added. That version
+// decoded its own messages and this version's follow request with a generation appended ("kind 7 ... sequence
+// 2"), and counted dissemination messages as malformed without any effect. So both versions can run side by
+// side, and older members keep polling the voters.
+std::string fromHex(std::string_view hex) {
   std::string out;
   for (std::size_t i = 0; i + 1 < hex.size(); i += 2)
     out += static_cast<char>(std::stoi(std::string(hex.substr(i, 2)), nullptr, 16));
   return out;
 }
 
-void olderVersionsAreUnderstood() {
+void olderVersionsAreCompatible() {
   const auto isBoth = [](const char* hex, const Message& message) {
-    const auto old = ofHex(hex);
+    const auto old = fromHex(hex);
     CHECK(fleet::encode(message, "f") == old);
     const auto read = std::get<Message>(fleet::decode(old, "f"));
     CHECK(read.kind == message.kind && read.sender == message.sender && read.from == message.from &&
@@ -382,7 +391,7 @@
   CHECK(read.news[0].version == "0.1.0" && read.news[0].incarnation == 3 &&
         read.news[0].published.revision == 2);
 
-  // A question of before, this version's answer to it; a question of this version.
+  // A request of the older version, this version's answer to it, and a request of this version.
   Message question{.kind = Kind::follow, .sender = "n7", .from = "127.0.0.1:7007", .sequence = 2};
   isBoth("9ba2747701a16607a26e37ae3132372e302e302e313a37303037a00292000090a0", question);
   question.payload = "1700000000000";
@@ -410,8 +419,8 @@
          {.kind = Kind::dissemination, .sender = "n7", .payload = "x"});
 }
 
-// Beats are many: around the payload only what a receiver needs.
-void disseminationIsSmall() {
+// Heartbeats are frequent, so the frame around the payload carries only what a receiver needs.
+void disseminationOverheadIsSmall() {
   const Message message{
       .kind = Kind::dissemination, .sender = "aggregator-17", .payload = std::string("a\0b", 3)};
   const auto bytes = fleet::encode(message, "dawa");
@@ -421,7 +430,7 @@
   CHECK(!byStream(Kind::dissemination) && !byStream(Kind::agreement) && !byStream(Kind::ack));
   CHECK(byStream(Kind::sync) && byStream(Kind::syncReply) && byStream(Kind::follow) &&
         byStream(Kind::followReply));
-  // A kind that is not known, as this one was to members before it, is broken.
+  // An unknown kind, as dissemination was to older members, is malformed.
   auto later = message;
   later.kind = static_cast<Kind>(kKinds);
   CHECK(std::get<fleet::Unread>(fleet::decode(fleet::encode(later, "dawa"), "dawa")) ==
@@ -433,21 +442,21 @@
 
 int main() {
   using namespace topazweir::test;
-  messagesComeBackWhole();
-  brokenBytesAreTold();
-  laterFormsAreTold();
-  weightsBoundTheBytes();
-  sharesAreCautious();
-  standingGoesByTheVoters();
-  loadIsOfLate();
-  answersAreBoundedByTheirQuestions();
-  wrongBlocksAreNamed();
-  differencesAreShownSideBySide();
-  disseminationIsConfigured();
-  whatIsInForceIsShown();
-  aStaleVersionIsRefuted();
-  appliedCommandsAreHandedOn();
-  theGenerationIsWrittenOnce();
-  disseminationIsSmall();
-  olderVersionsAreUnderstood();
+  messagesRoundTrip();
+  malformedBytesAreRejected();
+  laterVersionsAreRecognised();
+  weightBoundsTheEncodedBytes();
+  sharesFollowTheHighestRecentCount();
+  standingDependsOnReachableVoters();
+  loadCoversRecentRequests();
+  answersAreBoundedByTheirRequests();
+  configErrorsNameTheKey();
+  differencesBetweenViewsAreMarked();
+  disseminationSettingsAreRead();
+  fleetProgressIsShown();
+  staleVersionIsRefuted();
+  appliedCommandsArePassedOn();
+  generationIsWrittenOnce();
+  disseminationOverheadIsSmall();
+  olderVersionsAreCompatible();
 }
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -1,5 +1,5 @@
-// Members on a virtual clock: what each holds of the others while some die, stand still, leave or are cut
-// off.
+// The failure detector on a virtual clock: each member's view while others crash, stall, leave or are
+// partitioned.
 #include "check.hpp"
 #include "lab/virtual_fleet.hpp"
 #include "seeds.hpp"
@@ -9,93 +9,95 @@
 
 using membership::State;
 
-constexpr Nanos kMs = 1'000'000, kSec = 1000 * kMs;
+constexpr Nanos kMs = 1'000'000;
+constexpr Nanos kSec = 1000 * kMs;
 
-using World = lab::VirtualFleet;
-
-void theDeadAreFoundAndNobodyElse(std::uint64_t seed) {
-  World w(40, seed);
-  CHECK(w.oneView());
-  w.kill(7);
-  w.run(60 * kSec);
-  CHECK(w.hold(7, State::failed, State::failed) == 39 && w.falseVerdicts == 0 && w.oneView());
-  for (int i = 10; i < 20; ++i) w.kill(i);
-  w.run(90 * kSec);
-  CHECK(w.oneView() && w.falseVerdicts == 0);
-  w.start(7);  // under its old name, with nothing remembered
-  w.run(30 * kSec);
-  CHECK(w.oneView() && w.at(7).self().incarnation > 0);
-  w.leave(8);
-  w.run(30 * kSec);
-  CHECK(w.hold(8, State::left, State::left) == w.running());
-  CHECK(w.mostNews <= membership::Settings().updatesPerMessage);
+void detectsCrashedMembersOnly(std::uint64_t seed) {
+  lab::VirtualFleet fleet(40, seed);
+  CHECK(fleet.oneView());
+  fleet.kill(7);
+  fleet.run(60 * kSec);
+  CHECK(fleet.hold(7, State::failed, State::failed) == 39 && fleet.falseVerdicts == 0 && fleet.oneView());
+  for (int i = 10; i < 20; ++i) fleet.kill(i);
+  fleet.run(90 * kSec);
+  CHECK(fleet.oneView() && fleet.falseVerdicts == 0);
+  fleet.start(7);  // restarted under its old name without any state
+  fleet.run(30 * kSec);
+  CHECK(fleet.oneView() && fleet.at(7).self().incarnation > 0);
+  fleet.leave(8);
+  fleet.run(30 * kSec);
+  CHECK(fleet.hold(8, State::left, State::left) == fleet.running());
+  CHECK(fleet.mostNews <= membership::Settings().updatesPerMessage);
 }
 
-// It must not take the others for failed that it has not heard while it stood still itself.
-void theStalledDoubtsItself(std::uint64_t seed) {
-  World w(30, seed);
-  w.stall(4, 10 * kSec);
-  w.run(10 * kSec + 100 * kMs);
-  for (const auto& [name, member] : w.at(4).view()) CHECK(member.record.state <= State::suspect);
-  CHECK(w.at(4).health() > 0);
-  w.run(60 * kSec);
-  CHECK(w.oneView() && w.falseVerdicts == 0);
+// A member that was stalled must not declare those members failed whose messages it has not read meanwhile.
+void stalledMemberLowersItsOwnHealth(std::uint64_t seed) {
+  lab::VirtualFleet fleet(30, seed);
+  fleet.stall(4, 10 * kSec);
+  fleet.run(10 * kSec + 100 * kMs);
+  for (const auto& [name, member] : fleet.at(4).view()) CHECK(member.record.state <= State::suspect);
+  CHECK(fleet.at(4).health() > 0);
+  fleet.run(60 * kSec);
+  CHECK(fleet.oneView() && fleet.falseVerdicts == 0);
 }
 
-void whatWasPartedIsOneAgain(std::uint64_t seed) {
-  World w(30, seed);
-  w.cut = [](int a, int b) { return (a < 12) != (b < 12); };
-  w.run(90 * kSec);
-  CHECK(w.hold(0, State::failed, State::failed) == 18 && w.hold(20, State::failed, State::failed) == 12);
-  w.cut = [](int, int) { return false; };
-  w.run(90 * kSec);
-  CHECK(w.oneView());
-  w.cut = [](int a, int b) { return a == 3 && b == 5; };  // one pair, one way: others ask for it
-  w.run(120 * kSec);
-  CHECK(w.oneView());
+void partitionsHeal(std::uint64_t seed) {
+  lab::VirtualFleet fleet(30, seed);
+  fleet.cut = [](int a, int b) { return (a < 12) != (b < 12); };
+  fleet.run(90 * kSec);
+  CHECK(fleet.hold(0, State::failed, State::failed) == 18 &&
+        fleet.hold(20, State::failed, State::failed) == 12);
+  fleet.cut = [](int, int) { return false; };
+  fleet.run(90 * kSec);
+  CHECK(fleet.oneView());
+  fleet.cut = [](int a, int b) {
+    return a == 3 && b == 5;
+  };  // one direction of one pair: indirect probes succeed
+  fleet.run(120 * kSec);
+  CHECK(fleet.oneView());
 }
 
-// Datagrams lost: few verdicts are wrong, fewer with the additions than without, and each is taken back.
-void lossBringsFewFalseVerdicts() {
+// With datagram loss, Lifeguard causes fewer false positives than plain SWIM, and each of them is reverted.
+void lossCausesFewFalsePositives() {
   int with = 0, without = 0;
   for (std::uint64_t seed = 1; seed <= 3; ++seed)
     for (const bool lifeguard : {true, false}) {
       membership::Settings s;
       s.lifeguard = lifeguard;
-      World w(30, seed, s);
-      w.loss = 0.3;
-      w.run(300 * kSec);
-      (lifeguard ? with : without) += w.falseVerdicts;
-      w.loss = 0;
-      w.run(120 * kSec);
-      CHECK(w.oneView());
+      lab::VirtualFleet fleet(30, seed, s);
+      fleet.loss = 0.3;
+      fleet.run(300 * kSec);
+      (lifeguard ? with : without) += fleet.falseVerdicts;
+      fleet.loss = 0;
+      fleet.run(120 * kSec);
+      CHECK(fleet.oneView());
     }
-  CHECK(3 * with < 2 * without);  // 101 and 177; with half as many news a datagram 284 and 1,796
+  CHECK(3 * with < 2 * without);  // 101 and 177; with half as many updates per datagram 284 and 1,796
 }
 
-void trafficDoesNotGrowWithTheFleet() {
-  const auto each = [](int members) {
-    World w(members, 9);
-    const auto before = w.datagrams;
-    w.run(60 * kSec);
-    return static_cast<double>(w.datagrams - before) / members / 60;
+void trafficPerMemberIsIndependentOfFleetSize() {
+  const auto datagramsPerMemberSecond = [](int members) {
+    lab::VirtualFleet fleet(members, 9);
+    const auto before = fleet.datagrams;
+    fleet.run(60 * kSec);
+    return static_cast<double>(fleet.datagrams - before) / members / 60;
   };
-  const double few = each(20), many = each(200);
+  const double few = datagramsPerMemberSecond(20), many = datagramsPerMemberSecond(200);
   CHECK(many < 1.5 * few);
 }
 
 }  // namespace
 }  // namespace topazweir::test
 
-// Seeds from the first to the last one; CI plays two, a campaign more: topazweir_membership_test 3 200.
-int main(int count, char** words) {
+// Arguments: first and last seed. CI runs two seeds, a longer campaign more: topazweir_membership_test 3 200.
+int main(int argc, char** argv) {
   using namespace topazweir::test;
-  const Seeds seeds(count, words, 2);
+  const Seeds seeds(argc, argv, 2);
   for (std::uint64_t seed = seeds.first; seed <= seeds.last; ++seed) {
-    theDeadAreFoundAndNobodyElse(seed);
-    theStalledDoubtsItself(seed);
-    whatWasPartedIsOneAgain(seed);
+    detectsCrashedMembersOnly(seed);
+    stalledMemberLowersItsOwnHealth(seed);
+    partitionsHeal(seed);
   }
-  lossBringsFewFalseVerdicts();
-  trafficDoesNotGrowWithTheFleet();
+  lossCausesFewFalsePositives();
+  trafficPerMemberIsIndependentOfFleetSize();
 }
