--- a/src/membership/detector.cpp
+++ b/src/membership/detector.cpp
@@ -257,8 +257,8 @@
   Step step;
   now_ = now;
   if (self().state == State::left) return step;
-  // After a stall of this process, answers may be waiting unread in the socket. So as not to accuse healthy
-  // peers, it lowers its own health score and restarts all timers.
+  // After a stall of this process, answers may be waiting unread in the socket. So as not to suspect healthy
+  // peers, it raises its local health score (higher is worse, timeouts get longer) and restarts all timers.
   const Nanos gap = now - std::exchange(lastTick_, now);
   if (gap > settings_.period) {
     probe_.reset();
