--- a/src/broker/admit.cpp
+++ b/src/broker/admit.cpp
@@ -5,29 +5,31 @@
 namespace topazweir::broker {
 
 namespace {
-constexpr Nanos kSecond = 1'000'000'000;
+constexpr Nanos kQuotaWindowNs = 1'000'000'000;  // quotas are per second
 }
 
-// Guards the memory limit: what is held is bounded by the configured figure, queries and parts alike.
-std::optional<Nanos> Admit::refusal() const {
+// Enforces the memory limit: maxOpen bounds the queries and parts held at once.
+std::optional<Nanos> AdmissionControl::refusal() const {
   if (terms_.maxOpen == 0 || open_.held() <= terms_.maxOpen) return std::nullopt;
-  return std::min(kComeBack, terms_.settings.maxRetryAfter);
+  return std::min(kRetryAfterNs, terms_.settings.maxRetryAfter);
 }
 
-bool Admit::beyondQuota(const Request& request, Nanos now) {
-  if (recent_.empty()) return false;
-  auto& recent = recent_[static_cast<std::size_t>(request.tenant)];
-  while (!recent.empty() && recent.front() <= now - kSecond) recent.pop_front();
+bool AdmissionControl::beyondQuota(const Request& request, Nanos now) {
+  if (recentByTenant_.empty()) return false;
+  auto& recent = recentByTenant_[static_cast<std::size_t>(request.tenant)];
+  while (!recent.empty() && recent.front() <= now - kQuotaWindowNs) recent.pop_front();
   recent.push_back(now);
   const double quota = terms_.contracts[static_cast<std::size_t>(request.tenant)].quotaPerS;
-  // The quota is for all aggregators together; the front spreads clients evenly over them.
+  // The quota covers all aggregators together; clients are spread evenly over them, so this one's rate is
+  // multiplied by their number.
   return quota > 0 && static_cast<double>(recent.size()) * terms_.settings.aggregators > quota;
 }
 
-std::size_t Admit::rate(std::size_t tenant, Nanos now) const {
-  if (tenant >= recent_.size()) return 0;
-  return static_cast<std::size_t>(std::count_if(recent_[tenant].begin(), recent_[tenant].end(),
-                                                [&](Nanos at) { return at > now - kSecond; }));
+std::size_t AdmissionControl::rate(std::size_t tenant, Nanos now) const {
+  if (tenant >= recentByTenant_.size()) return 0;
+  return static_cast<std::size_t>(std::count_if(recentByTenant_[tenant].begin(),
+                                                recentByTenant_[tenant].end(),
+                                                [&](Nanos at) { return at > now - kQuotaWindowNs; }));
 }
 
 }  // namespace topazweir::broker
--- a/src/broker/admit.hpp
+++ b/src/broker/admit.hpp
@@ -1,4 +1,5 @@
-// Stage 2, admit: is there room for the request, and is it within its tenant's contract?
+// Stage 2, admission control: sheds a request when the memory limit is reached, and checks it against its
+// tenant's quota.
 #pragma once
 
 #include <deque>
@@ -10,23 +11,25 @@
 
 namespace topazweir::broker {
 
-class Admit {
+class AdmissionControl {
  public:
-  Admit(const Terms& terms, const OpenRequests& open)
-      : terms_(terms), open_(open), recent_(terms.contracts.size()) {}
-  // When to come back, if the request just taken in leaves more held than agreed; none: admitted.
+  AdmissionControl(const Terms& terms, const OpenRequests& open)
+      : terms_(terms), open_(open), recentByTenant_(terms.contracts.size()) {}
+  // The retry-after advice in nanoseconds if the newest request exceeds the limit on held queries and parts;
+  // nullopt if it is admitted.
   std::optional<Nanos> refusal() const;
-  // Counts the request against its tenant's contract; true: it is beyond the quota.
+  // Records the request in its tenant's one-second window and returns whether it exceeds the quota.
   bool beyondQuota(const Request& request, Nanos now);
-  // Requests of a tenant taken within the last second.
+  // The number of the tenant's requests within the last second; 0 for an unknown tenant.
   std::size_t rate(std::size_t tenant, Nanos now) const;
 
-  static constexpr Nanos kComeBack = 500'000'000;
+  // Retry-after advice for a shed request, capped by Settings::maxRetryAfter.
+  static constexpr Nanos kRetryAfterNs = 500'000'000;
 
  private:
   const Terms& terms_;
   const OpenRequests& open_;
-  std::vector<std::deque<Nanos>> recent_;  // by tenant: requests taken within the quota's second
+  std::vector<std::deque<Nanos>> recentByTenant_;  // arrival times within the one-second window, oldest first
 };
 
 }  // namespace topazweir::broker
--- a/src/broker/book.cpp
+++ b/src/broker/book.cpp
@@ -2,20 +2,20 @@
 
 namespace topazweir::broker {
 
-TenantCounters* Book::tenant(const OpenRequest& open) {
+TenantCounters* Finisher::tenantCounters(const OpenRequest& open) {
   const auto at = static_cast<std::size_t>(open.request.tenant);
   return at < counters_.tenants.size() ? &counters_.tenants[at] : nullptr;
 }
 
-void Book::finish(RequestNo no, FinalAnswer answer) {
+void Finisher::finish(RequestNo no, FinalAnswer answer) {
   auto* open = open_.find(no);
   if (!open) return;
   Front* front = open->front;
-  open_.remove(no);  // first: what the front does next may bring a new request
+  open_.remove(no);  // before finish(): the front may submit a new request from there
   front->finish(no, std::move(answer));
 }
 
-void Book::answer(RequestNo no, bool whole) {
+void Finisher::answer(RequestNo no, bool whole) {
   auto* open = open_.find(no);
   if (!open) return;
   FinalAnswer answer{Verdict::answered, whole, false, 0, {}};
@@ -23,27 +23,27 @@
     if (part.delivered) answer.results.push_back({part.shard, std::move(part.value)});
   ++counters_.answered;
   if (!whole) ++counters_.answeredPartial;
-  if (auto* t = tenant(*open)) ++t->answered;
+  if (auto* counters = tenantCounters(*open)) ++counters->answered;
   finish(no, std::move(answer));
 }
 
-void Book::refuse(RequestNo no, Nanos retryAfter) {
+void Finisher::refuse(RequestNo no, Nanos retryAfter) {
   auto* open = open_.find(no);
   if (!open) return;
   ++counters_.refused;
-  if (auto* t = tenant(*open)) ++t->refused;
+  if (auto* counters = tenantCounters(*open)) ++counters->refused;
   finish(no, FinalAnswer{Verdict::refused, false, false, retryAfter, {}});
 }
 
-void Book::fail(RequestNo no, bool timedOut) {
+void Finisher::fail(RequestNo no, bool timedOut) {
   auto* open = open_.find(no);
   if (!open) return;
   ++counters_.failed;
-  if (auto* t = tenant(*open)) ++t->failed;
+  if (auto* counters = tenantCounters(*open)) ++counters->failed;
   finish(no, FinalAnswer{Verdict::failed, false, timedOut, 0, {}});
 }
 
-void Book::abandoned(RequestNo no) {
+void Finisher::abandon(RequestNo no) {
   ++counters_.abandoned;
   open_.remove(no);
 }
--- a/src/broker/book.hpp
+++ b/src/broker/book.hpp
@@ -1,4 +1,4 @@
-// Stage 6, book: gives each request its one final answer and counts it.
+// Stage 6, finish: gives each request its one final answer, counts it and removes it from the open requests.
 #pragma once
 
 #include "broker/counters.hpp"
@@ -6,17 +6,21 @@
 
 namespace topazweir::broker {
 
-class Book {
+// All functions ignore requests that are no longer open, except that abandon() counts them.
+class Finisher {
  public:
-  Book(OpenRequests& open, Counters& counters) : open_(open), counters_(counters) {}
+  Finisher(OpenRequests& open, Counters& counters) : open_(open), counters_(counters) {}
+  // Answers with the parts that have been delivered. `whole`: they suffice for a whole answer.
   void answer(RequestNo no, bool whole);
+  // `retryAfter`: advice to the client in nanoseconds; 0: none.
   void refuse(RequestNo no, Nanos retryAfter);
   void fail(RequestNo no, bool timedOut);
-  void abandoned(RequestNo no);  // its client has left: nobody is there to be answered
+  // The client has disconnected: counts and removes the request without an answer.
+  void abandon(RequestNo no);
 
  private:
   void finish(RequestNo no, FinalAnswer answer);
-  TenantCounters* tenant(const OpenRequest& open);
+  TenantCounters* tenantCounters(const OpenRequest& open);
   OpenRequests& open_;
   Counters& counters_;
 };
--- a/src/broker/broker.hpp
+++ b/src/broker/broker.hpp
@@ -1,5 +1,6 @@
-// The core: requests pass take_in, admit, route, send, relay and book. It owns the open requests, their
-// deadlines, the contracts, the budgets of attempts and the counters, and knows no wire.
+// The core of an aggregator, independent of any wire protocol. A request passes the stages intake, admission
+// control, route, send, relay and finish. The core owns the open requests, their deadlines, the tenants'
+// contracts, the limits on attempts and the counters.
 #pragma once
 
 #include <limits>
@@ -19,6 +20,7 @@
 
 namespace topazweir::broker {
 
+// Why a request was not taken, as an error message for its client.
 struct Invalid {
   std::string why;
 };
@@ -27,61 +29,71 @@
  public:
   Broker(Terms terms, Clock& clock, Backend& backend, Log& log);
 
-  // Checks the request. A valid one is taken: its one final answer comes through the front, after this call
-  // has returned (`begin` starts it), so that the front can note the number first.
+  // Validates the request and registers it if it is valid. Its processing starts with begin(), so that the
+  // front can store the number before the final answer arrives.
   std::variant<RequestNo, Invalid> take(Request request, Front& front);
   void begin(RequestNo no);
-  void abandon(RequestNo no);  // the client has left
+  // The client has disconnected: cancels the request's attempts; it gets no final answer.
+  void abandon(RequestNo no);
   void attemptEnded(const AttemptId& id, Outcome outcome, std::string value = {});
-  // A request of one part: the attempt has begun its answer, which ends with settle(). `heard`: it was the
-  // server that spoke; else the request itself is too long or too slow for a further attempt, which says
-  // nothing of the server. False: the request is over, or another attempt's.
+  // Commits a request of one part to this attempt, whose answer has begun to stream and will end with
+  // settle(). `heard`: the server has begun to respond. Otherwise the request is committed because it is too
+  // long or too slow to be retried, which is no evidence about the server. Returns false if the request has
+  // ended or is committed to another attempt.
   bool attemptBegan(const AttemptId& id, bool heard);
-  // The attempt has ended, and the request ends with it, whatever the module would do next.
+  // The attempt has ended and the request ends with it; the module is not asked for a retry.
   void settle(const AttemptId& id, Outcome outcome, Verdict verdict);
-  // The front can't go on with the request: it has failed, and what is out for it is called off.
+  // The front cannot continue with the request: cancels its attempts and fails it.
   void giveUp(RequestNo no);
+  // An update of the server list from discovery.
   void told(ListNews news);
-  // Another process that stands under the same ceilings has sent to a server.
+  // Another process that shares this one's slow-start limits has sent to the server.
   void sentElsewhere(ServerId server, Nanos at);
-  // So many aggregators send to the same nodes from now on, and this is that one of them.
-  void fleet(int aggregators, int number) { route_.add(FleetChanged{aggregators, number}); }
-  // The program ends: what is open then has its final answer by that time, and so has what comes after.
+  // Sets the number of aggregators that send to the same nodes and this one's index among them.
+  void fleet(int aggregators, int number) { module_.add(FleetChanged{aggregators, number}); }
+  // Graceful shutdown: every request that is open or taken later has its final answer by `at`.
   void endBy(Nanos at);
-  // New limits and quotas from now on; the module's settings and the tenants' names stay as they are.
+  // Applies changed limits and quotas. The module's settings and the tenants' names must not change.
   void agree(const Terms& terms);
+  // Runs due timers and fails overdue requests; called by the clock.
   void wake();
 
   const Counters& counters() const { return counters_; }
   const Terms& terms() const { return terms_; }
-  std::size_t open() const { return open_.count(); }
-  std::size_t held() const { return open_.held(); }
-  std::size_t rate(std::size_t tenant) const { return admit_.rate(tenant, clock_.now()); }
+  std::size_t open() const { return open_.count(); }  // requests
+  std::size_t held() const { return open_.held(); }   // queries and parts
+  // The tenant's requests within the last second.
+  std::size_t rate(std::size_t tenant) const { return admission_.rate(tenant, clock_.now()); }
 
  private:
-  void run();   // a turn of the module, now or together with what else comes
-  void turn();  // now
+  // Runs a turn of the module now, or batches it with later events (Terms::turnsTogetherFrom, gathering()).
+  void runTurn();
+  // Runs a turn of the module at once.
+  void runTurnNow();
   void carryOut(const Action& action);
-  RequestNo end(const std::string& query, bool answered);  // 0: it is over, or the client's already
-  void expire(Nanos now);
-  void arm();
-  void over(RequestNo no);  // tells the module so and goes on
+  // Cancels what is outstanding before a final answer. Returns the request's number, or 0 if it has ended or
+  // its answer is already streaming to the client.
+  RequestNo prepareEnd(const std::string& query, bool answered);
+  void endOverdue(Nanos now);
+  void scheduleWake();
+  // Reports the request's end to the module and runs a turn.
+  void reportEnd(RequestNo no);
 
   Terms terms_;
   Clock& clock_;
   Log& log_;
   Counters counters_;
   OpenRequests open_;
-  TakeIn takeIn_;
-  Admit admit_;
-  Route route_;
-  SendOut send_;
-  Relay relay_;
-  Book book_;
-  std::multimap<Nanos, std::int64_t> timers_;  // the module's
-  bool turnAwaited_ = false;
-  Nanos endBy_ = std::numeric_limits<Nanos>::max();
-  Nanos armedFor_ = std::numeric_limits<Nanos>::max();
+  Intake intake_;
+  AdmissionControl admission_;
+  ModuleDriver module_;
+  AttemptSender sender_;
+  OutcomeRecorder recorder_;
+  Finisher finisher_;
+  std::multimap<Nanos, std::int64_t> timers_;           // the module's timer tokens by due time
+  bool turnPending_ = false;                            // a batched turn awaits its wake-up
+  Nanos endBy_ = std::numeric_limits<Nanos>::max();     // end of the graceful shutdown; max: none
+  Nanos nextWake_ = std::numeric_limits<Nanos>::max();  // earliest wake-up requested; max: none
 };
 
 }  // namespace topazweir::broker
--- a/src/broker/contract.hpp
+++ b/src/broker/contract.hpp
@@ -1,4 +1,4 @@
-// What was agreed with the tenants and what this aggregator may hold.
+// The limits of a broker core: the tenants' contracts and how much this aggregator may hold.
 #pragma once
 
 #include <string>
@@ -8,22 +8,24 @@
 
 namespace topazweir::broker {
 
+// What was agreed with one tenant.
 struct Contract {
   std::string tenant;
-  double share = 0;      // of the service
-  double quotaPerS = 0;  // requests a second over all aggregators; 0: none agreed
+  double share = 0;      // share of the service's capacity, 0 to 1
+  double quotaPerS = 0;  // requests per second over all aggregators; 0: no quota
 };
 
+// Configuration of one core.
 struct Terms {
-  std::string name;   // of the core, where a program has several: said in the log
-  Settings settings;  // of the decision module
-  // With more than so many requests open, events wait for the next wake and reach the module together: each
-  // of its turns looks at every open request. 0: each event is a turn.
+  std::string name;   // name of the core for log lines, where a process runs several; else empty
+  Settings settings;  // settings of the decision module
+  // From this number of open requests on, events are batched until the next wake-up and reach the module in
+  // one turn, because each turn scans every open request. 0: one turn per event.
   std::size_t turnsTogetherFrom = 0;
   std::vector<Contract> contracts;
-  double overShareWorth = 1;  // what a request beyond its tenant's share is still worth
-  std::size_t maxOpen = 0;    // queries and parts held at once; 0: no limit
-  Nanos longestDeadline = 0;  // a longer one is absurd
+  double overShareWorth = 1;  // factor on the worth of a request beyond its tenant's share
+  std::size_t maxOpen = 0;    // queries and parts held at once; 0: unlimited
+  Nanos longestDeadline = 0;  // requests with a longer deadline are invalid
 };
 
 }  // namespace topazweir::broker
--- a/src/broker/counters.hpp
+++ b/src/broker/counters.hpp
@@ -1,4 +1,4 @@
-// What the broker counts. One value type, read by every way of showing it.
+// Counters of the broker, shared by every way of exporting them.
 #pragma once
 
 #include <array>
@@ -8,27 +8,43 @@
 
 namespace topazweir::broker {
 
+// Counters of one tenant.
 struct TenantCounters {
   std::string name;
-  std::uint64_t taken = 0, answered = 0, refused = 0, failed = 0, overQuota = 0, furtherAttempts = 0;
+  std::uint64_t taken = 0;
+  std::uint64_t answered = 0;
+  std::uint64_t refused = 0;
+  std::uint64_t failed = 0;
+  std::uint64_t overQuota = 0;
+  std::uint64_t furtherAttempts = 0;  // attempts beyond a part's first: retries and hedges
 };
 
+// Counters of one core.
 struct Counters {
-  std::uint64_t taken = 0, turnedAway = 0, invalid = 0;
-  std::uint64_t answered = 0, answeredPartial = 0, refused = 0, failed = 0, abandoned = 0;
-  std::uint64_t sent = 0, furtherAttempts = 0, unsent = 0;
-  std::uint64_t streamed = 0;           // of the taken: answers that began before they were whole
-  std::array<std::uint64_t, 8> ends{};  // of attempts, by topazweir::Outcome
+  std::uint64_t taken = 0;
+  std::uint64_t turnedAway = 0;  // shed by admission control; also counted as refused
+  std::uint64_t invalid = 0;     // rejected by validation; not counted as taken
+  std::uint64_t answered = 0;
+  std::uint64_t answeredPartial = 0;
+  std::uint64_t refused = 0;
+  std::uint64_t failed = 0;
+  std::uint64_t abandoned = 0;  // the client disconnected before the final answer
+  std::uint64_t sent = 0;
+  std::uint64_t furtherAttempts = 0;    // attempts beyond a part's first: retries and hedges
+  std::uint64_t unsent = 0;             // attempts ordered by the module but not made
+  std::uint64_t streamed = 0;           // taken requests whose answer began before it was complete
+  std::array<std::uint64_t, 8> ends{};  // ended attempts, indexed by topazweir::Outcome
   std::vector<TenantCounters> tenants;
 };
 
+// Exported names, indexed by topazweir::Outcome.
 inline constexpr std::array<const char*, 8> kOutcomeNames = {
     "delivered", "error", "rejected", "timed_out", "connect_failed", "reset", "cancelled", "not_sent"};
 
-// What the other has counted comes on top; tenants are matched by their place.
+// Adds counter by counter; tenants are matched by index.
 Counters& operator+=(Counters& to, const Counters& from);
 
-// One "name value" a line.
+// One "name value" pair per line, each name preceded by `prefix`.
 std::string print(const Counters& counters, const std::string& prefix = {});
 
 }  // namespace topazweir::broker
--- a/src/broker/history.cpp
+++ b/src/broker/history.cpp
@@ -8,12 +8,12 @@
 namespace topazweir::broker {
 
 std::string history(const OpenRequest& open, const Settings& settings, Nanos now) {
-  std::array<int, kOutcomeNames.size()> ends{};
+  std::array<int, kOutcomeNames.size()> outcomes{};
   std::size_t attempts = 0;
   for (const auto& part : open.parts) {
     attempts += part.attempts.size();
     for (const auto& attempt : part.attempts)
-      if (attempt.end) ++ends[static_cast<std::size_t>(*attempt.end)];
+      if (attempt.outcome) ++outcomes[static_cast<std::size_t>(*attempt.outcome)];
   }
   const auto in =
       std::count_if(open.parts.begin(), open.parts.end(), [](const auto& p) { return p.delivered; });
@@ -22,8 +22,8 @@
                     " after_ms=" + std::to_string((now - open.takenAt) / 1'000'000) +
                     " in=" + std::to_string(in) + '/' + std::to_string(open.parts.size()) +
                     " attempts=" + std::to_string(attempts);
-  for (std::size_t i = 0; i < ends.size(); ++i)
-    if (ends[i] > 0) out += std::string(" ") + kOutcomeNames[i] + '=' + std::to_string(ends[i]);
+  for (std::size_t i = 0; i < outcomes.size(); ++i)
+    if (outcomes[i] > 0) out += std::string(" ") + kOutcomeNames[i] + '=' + std::to_string(outcomes[i]);
   return out;
 }
 
--- a/src/broker/history.hpp
+++ b/src/broker/history.hpp
@@ -1,4 +1,4 @@
-// What became of a request, in words for the log.
+// Summary of a request's attempts for log lines.
 #pragma once
 
 #include <string>
@@ -7,7 +7,8 @@
 
 namespace topazweir::broker {
 
-// "id=... class=... after_ms=... in=PARTS/OF attempts=N" and how many of these ended in each way.
+// "id=... class=... after_ms=... in=DELIVERED/PARTS attempts=N", followed by "OUTCOME=N" for each outcome of
+// its ended attempts.
 std::string history(const OpenRequest& open, const Settings& settings, Nanos now);
 
 }  // namespace topazweir::broker
--- a/src/broker/log.cpp
+++ b/src/broker/log.cpp
@@ -2,12 +2,16 @@
 
 namespace topazweir::broker {
 
+namespace {
+constexpr Nanos kWindowNs = 1'000'000'000;  // window of Log::kMostPerSecond
+}
+
 void Log::line(std::string_view event, std::string_view text) {
   const Nanos now = now_();
   auto found = windows_.find(event);
   if (found == windows_.end()) found = windows_.try_emplace(std::string(event), Window{now, 0, 0}).first;
   Window& window = found->second;
-  if (now - window.since >= 1'000'000'000) {
+  if (now - window.since >= kWindowNs) {
     if (window.suppressed > 0) sink_(event, "suppressed=" + std::to_string(window.suppressed));
     window = Window{now, 0, 0};
   }
@@ -16,7 +20,8 @@
     return;
   }
   ++window.written;
-  std::string out(text);  // what comes from outside must not begin a line of its own
+  // Text from outside must not start a log line of its own.
+  std::string out(text);
   for (char& c : out)
     if (c == '\n' || c == '\r') c = ' ';
   sink_(event, out);
--- a/src/broker/log.hpp
+++ b/src/broker/log.hpp
@@ -1,4 +1,5 @@
-// One line a happening, "event key=value ...", rate-limited by event so that a storm cannot fill the log.
+// Event log: one line per event, "event key=value ...", rate-limited per event name so that an error storm
+// cannot flood the log.
 #pragma once
 
 #include <functional>
@@ -12,12 +13,13 @@
 
 class Log {
  public:
-  // Gets each event and what belongs to it, one line of words.
+  // Receives each event's name and its text, which is a single line.
   using Sink = std::function<void(std::string_view event, std::string_view text)>;
   using Now = std::function<Nanos()>;
   Log(Sink sink, Now now) : sink_(std::move(sink)), now_(std::move(now)) {}
 
-  // Writes "event text"; beyond kMostPerSecond of one event in a second lines are counted, not written.
+  // Writes "event text". Beyond kMostPerSecond lines of one event within a second, lines are counted instead,
+  // and the count is written ("suppressed=N") with the event's first line after that second.
   void line(std::string_view event, std::string_view text);
 
   static constexpr int kMostPerSecond = 5;
@@ -30,7 +32,7 @@
   };
   Sink sink_;
   Now now_;
-  std::map<std::string, Window, std::less<>> windows_;
+  std::map<std::string, Window, std::less<>> windows_;  // by event name
 };
 
 }  // namespace topazweir::broker
--- a/src/broker/open.hpp
+++ b/src/broker/open.hpp
@@ -1,4 +1,4 @@
-// The open requests: what has been taken and not yet got its final answer.
+// The open requests: those taken that have not yet received their final answer.
 #pragma once
 
 #include <algorithm>
@@ -13,19 +13,23 @@
 
 namespace topazweir::broker {
 
+// One attempt of a part at one server.
 struct Attempt {
   ServerId server = 0;
   Nanos sentAt = 0;
-  std::optional<Outcome> end{};  // how it ended
-  bool out() const { return !end; }
-  bool mayHaveRun() const { return !end || topazweir::mayHaveRun(*end); }
+  std::optional<Outcome> outcome{};  // empty while the attempt is outstanding
+  bool isOutstanding() const { return !outcome; }
+  bool mayHaveRun() const { return !outcome || topazweir::mayHaveRun(*outcome); }
 };
 
-// Its answer has begun: the request belongs to this attempt, and only its end or the client's time ends it.
+// The attempt whose answer has begun to stream. The request is committed to it: from then on only the end of
+// this attempt or the request's deadline ends the request.
 struct Streaming {
-  int part = 0, attempt = 0;
+  int part = 0;
+  int attempt = 0;
 };
 
+// One part of an open request and its attempts.
 struct OpenPart {
   int shard = 0;
   std::vector<Attempt> attempts;
@@ -33,15 +37,19 @@
   std::string value;
 };
 
+// A request between intake and its final answer.
 struct OpenRequest {
   Request request;
   Front* front = nullptr;
   Nanos takenAt = 0;
-  Nanos due = 0;  // its final answer: the client's time is up, or the program's
+  // When the final answer is due: the client's deadline or the end of the graceful shutdown, the earlier.
+  Nanos due = 0;
   std::shared_ptr<const std::string> query;
   std::vector<OpenPart> parts;
   std::optional<Streaming> streaming;
+  // The client's deadline.
   Nanos clientDue() const { return takenAt + request.timeLeft; }
+  // Whether any attempt may have been executed by its server.
   bool mayHaveRun() const {
     return std::any_of(parts.begin(), parts.end(), [](const OpenPart& part) {
       return std::any_of(part.attempts.begin(), part.attempts.end(),
@@ -50,8 +58,10 @@
   }
 };
 
+// Index of the open requests by number, by client id and by due time.
 class OpenRequests {
  public:
+  // nullptr if the request is not open.
   OpenRequest* find(RequestNo no) {
     const auto at = byNo_.find(no);
     return at == byNo_.end() ? nullptr : &at->second;
@@ -71,21 +81,23 @@
     byDue_.erase({at->second.due, no});
     byNo_.erase(at);
   }
-  // All that would be due later is due then.
-  void shorten(Nanos due) {
+  // Reduces every due time later than `due` to `due`.
+  void capDue(Nanos due) {
     for (auto at = byDue_.upper_bound({due, std::numeric_limits<RequestNo>::max()}); at != byDue_.end();
          at = byDue_.erase(at)) {
       byNo_.at(at->second).due = due;
-      byDue_.emplace(due, at->second);  // before `at`: not met again
+      byDue_.emplace(due, at->second);  // sorts before `at`, so the loop does not visit it again
     }
   }
-  std::size_t held() const { return held_; }  // queries and parts
+  // Queries and parts held in memory: each request counts 1 plus its parts.
+  std::size_t held() const { return held_; }
   std::size_t count() const { return byNo_.size(); }
-  // The first whose time is up; none: none is.
+  // The overdue request with the earliest due time; nullopt if none is overdue.
   std::optional<RequestNo> overdue(Nanos now) const {
     if (byDue_.empty() || byDue_.begin()->first > now) return std::nullopt;
     return byDue_.begin()->second;
   }
+  // The earliest due time; nullopt if nothing is open.
   std::optional<Nanos> firstDue() const {
     return byDue_.empty() ? std::nullopt : std::optional(byDue_.begin()->first);
   }
@@ -93,7 +105,7 @@
  private:
   std::map<RequestNo, OpenRequest> byNo_;
   std::unordered_set<std::string> ids_;
-  std::set<std::pair<Nanos, RequestNo>> byDue_;  // an entry for each open request
+  std::set<std::pair<Nanos, RequestNo>> byDue_;  // one entry per open request
   std::size_t held_ = 0;
 };
 
--- a/src/broker/relay.hpp
+++ b/src/broker/relay.hpp
@@ -1,4 +1,5 @@
-// Stage 5, relay: takes the end of an attempt, keeps the value it brought and tells the module.
+// Stage 5, relay: records the outcome of an attempt, stores the value it delivered and produces the event for
+// the decision module.
 #pragma once
 
 #include <optional>
@@ -8,10 +9,10 @@
 
 namespace topazweir::broker {
 
-class Relay {
+class OutcomeRecorder {
  public:
-  Relay(OpenRequests& open, Counters& counters) : open_(open), counters_(counters) {}
-  // The module's event; none when the attempt is not out (any more).
+  OutcomeRecorder(OpenRequests& open, Counters& counters) : open_(open), counters_(counters) {}
+  // The event for the module; nullopt if the attempt is unknown or has already ended.
   std::optional<AttemptEnded> ended(const AttemptId& id, Outcome outcome, std::string value, Nanos now);
 
  private:
--- a/src/broker/route.cpp
+++ b/src/broker/route.cpp
@@ -4,7 +4,7 @@
 
 namespace topazweir::broker {
 
-void Route::addRequest(RequestNo no, const OpenRequest& open) {
+void ModuleDriver::addRequest(RequestNo no, const OpenRequest& open) {
   const auto& r = open.request;
   add(QueryArrived{queryId(no), no, r.queryClass, open.due - open.takenAt, static_cast<int>(r.parts.size()),
                    r.repeat});
@@ -12,7 +12,7 @@
     add(PartArrived{partId(no, i), no, r.parts[i].shard, r.parts[i].weight});
 }
 
-AttemptId Route::parse(const std::string& id) {
+AttemptId ModuleDriver::parse(const std::string& id) {
   AttemptId out;
   const char* end = id.data() + id.size();
   const auto [at, error] = std::from_chars(id.data(), end, out.request);
--- a/src/broker/route.hpp
+++ b/src/broker/route.hpp
@@ -1,5 +1,5 @@
-// Stage 3, route: the only place that talks to the decision module. Events in, actions out, one turn at a
-// time: an action whose carrying out brings an event at once must not start a turn within a turn.
+// Stage 3, route: the only caller of the decision module. It batches events into turns and carries out the
+// actions of each turn. Turns do not nest: an event that an action causes at once waits for the next turn.
 #pragma once
 
 #include <string>
@@ -10,16 +10,19 @@
 
 namespace topazweir::broker {
 
-class Route {
+class ModuleDriver {
  public:
-  explicit Route(const Settings& settings) : aggregator_(settings) {}
-  template <class Happening>
-  void add(Happening&& event) {
-    pending_.emplace_back(std::forward<Happening>(event));
+  explicit ModuleDriver(const Settings& settings) : aggregator_(settings) {}
+  // Queues an event for the next turn.
+  template <class ModuleEvent>
+  void add(ModuleEvent&& event) {
+    pending_.emplace_back(std::forward<ModuleEvent>(event));
   }
+  // Queues the arrival of a request and of its parts.
   void addRequest(RequestNo no, const OpenRequest& open);
 
-  // Hands the waiting events to the module and its actions to `carryOut`, until no events wait.
+  // Passes the queued events to the module and its actions to `carryOut`, until the queue is empty. Does
+  // nothing when called from within `carryOut`.
   template <class CarryOut>
   void run(Nanos now, CarryOut&& carryOut) {
     if (running_) return;
@@ -32,11 +35,12 @@
     running_ = false;
   }
 
-  // The module's ids are the request's number, and for a part its position after a dot.
+  // The module's ids: a query's is the request's number, a part's adds a dot and the part's position.
   static std::string queryId(RequestNo no) { return std::to_string(no); }
   static std::string partId(RequestNo no, std::size_t part) {
     return std::to_string(no) + '.' + std::to_string(part);
   }
+  // Reads either kind of id; `part` stays 0 for a query's, `attempt` always.
   static AttemptId parse(const std::string& id);
 
  private:
--- a/src/broker/send.cpp
+++ b/src/broker/send.cpp
@@ -4,9 +4,9 @@
 
 namespace topazweir::broker {
 
-// A repeat of a keyed part is dropped by the servers only for so long after the first attempt that may have
-// run; what waits for a connection must not leave later.
-Nanos SendOut::writeBy(const OpenRequest& open, const OpenPart& part) const {
+// Servers drop a duplicate of a keyed part only within keyedWindow after the first attempt that may have run,
+// so an attempt that still waits for a connection must not be written later than that.
+Nanos AttemptSender::writeBy(const OpenRequest& open, const OpenPart& part) const {
   const auto& cls = terms_.settings.classes[static_cast<std::size_t>(open.request.queryClass)];
   if (cls.effect != Effect::keyed) return open.due;
   const auto first = std::find_if(part.attempts.begin(), part.attempts.end() - 1,
@@ -14,17 +14,17 @@
   return first == part.attempts.end() - 1 ? open.due : std::min(open.due, first->sentAt + cls.keyedWindow);
 }
 
-std::optional<AttemptId> SendOut::send(const AttemptId& id, const Send& order, Nanos now) {
+std::optional<AttemptId> AttemptSender::send(const AttemptId& id, const Send& order, Nanos now) {
   auto* open = open_.find(id.request);
   const auto at = static_cast<std::size_t>(id.part);
   if (!open || at >= open->parts.size()) return std::nullopt;
   auto& part = open->parts[at];
   const AttemptId attempt{id.request, id.part, static_cast<int>(part.attempts.size())};
   part.attempts.push_back(Attempt{order.server, now});
-  // Guards the rule on attempts, and that nothing is sent past the client's time, whatever the module asks.
-  const int most =
+  // Enforces the limit of attempts and the deadline, whatever the module orders.
+  const int maxAttempts =
       limitOf(terms_.settings, terms_.settings.classes[static_cast<std::size_t>(open->request.queryClass)]);
-  if (attempt.attempt >= most || now >= open->due || open->streaming) {
+  if (attempt.attempt >= maxAttempts || now >= open->due || open->streaming) {
     ++counters_.unsent;
     return attempt;
   }
@@ -41,25 +41,26 @@
   return std::nullopt;
 }
 
-void SendOut::cancel(const AttemptId& id) {
+void AttemptSender::cancel(const AttemptId& id) {
   auto* open = open_.find(id.request);
-  const auto part = static_cast<std::size_t>(id.part), at = static_cast<std::size_t>(id.attempt);
+  const auto part = static_cast<std::size_t>(id.part);
+  const auto at = static_cast<std::size_t>(id.attempt);
   if (!open || part >= open->parts.size() || at >= open->parts[part].attempts.size()) return;
   auto& attempt = open->parts[part].attempts[at];
-  if (!attempt.out()) return;
-  attempt.end = Outcome::cancelled;
+  if (!attempt.isOutstanding()) return;
+  attempt.outcome = Outcome::cancelled;
   ++counters_.ends[static_cast<std::size_t>(Outcome::cancelled)];
   backend_.cancel(id);
 }
 
-void SendOut::cancelOthers(RequestNo no, OpenRequest& open) {
+void AttemptSender::cancelOthers(RequestNo no, OpenRequest& open) {
   for (std::size_t p = 0; p < open.parts.size(); ++p)
     for (std::size_t a = 0; a < open.parts[p].attempts.size(); ++a)
       if (static_cast<int>(p) != open.streaming->part || static_cast<int>(a) != open.streaming->attempt)
         cancel({no, static_cast<int>(p), static_cast<int>(a)});
 }
 
-void SendOut::cancelAll(RequestNo no, OpenRequest& open) {
+void AttemptSender::cancelAll(RequestNo no, OpenRequest& open) {
   for (std::size_t p = 0; p < open.parts.size(); ++p)
     for (std::size_t a = 0; a < open.parts[p].attempts.size(); ++a)
       cancel({no, static_cast<int>(p), static_cast<int>(a)});
--- a/src/broker/send.hpp
+++ b/src/broker/send.hpp
@@ -1,4 +1,4 @@
-// Stage 4, send: starts and cancels attempts at the backend, within the budget of attempts for a part.
+// Stage 4, send: starts and cancels attempts at the backend, within the limit of attempts per part.
 #pragma once
 
 #include <optional>
@@ -9,16 +9,19 @@
 
 namespace topazweir::broker {
 
-class SendOut {
+class AttemptSender {
  public:
-  SendOut(const Terms& terms, OpenRequests& open, Backend& backend, Counters& counters)
+  AttemptSender(const Terms& terms, OpenRequests& open, Backend& backend, Counters& counters)
       : terms_(terms), open_(open), backend_(backend), counters_(counters) {}
-  // The attempt's id when it was not made, since its time is over or the part's attempts are used up; it is
-  // numbered all the same, as the module has numbered it.
+  // Starts the attempt. Returns its id if it was not made because the request's deadline has passed, the
+  // part's attempts are used up or the request's answer is already streaming. Such an attempt is numbered all
+  // the same, since the module has numbered it. nullopt: sent, or the request or part is unknown.
   std::optional<AttemptId> send(const AttemptId& part, const Send& order, Nanos now);
+  // Cancels the attempt if it is outstanding.
   void cancel(const AttemptId& attempt);
   void cancelAll(RequestNo no, OpenRequest& open);
-  void cancelOthers(RequestNo no, OpenRequest& open);  // all but the one that the request belongs to
+  // Cancels all attempts but the one whose answer is streaming.
+  void cancelOthers(RequestNo no, OpenRequest& open);
 
  private:
   Nanos writeBy(const OpenRequest& open, const OpenPart& part) const;
--- a/src/broker/take_in.cpp
+++ b/src/broker/take_in.cpp
@@ -6,14 +6,20 @@
 
 namespace topazweir::broker {
 
-std::optional<std::string> TakeIn::fault(const Request& r) const {
+namespace {
+constexpr std::size_t kMaxIdChars = 128;
+constexpr double kWeightTolerance = 0.01;  // for rounding of the clients' shares
+}  // namespace
+
+std::optional<std::string> Intake::validate(const Request& r) const {
   const auto below = [](int value, std::size_t limit) {
     return value >= 0 && static_cast<std::size_t>(value) < limit;
   };
-  if (r.id.empty() || r.id.size() > 128) return "the request's id is empty or too long";
-  for (const char c : r.id)  // it travels in lines of words
-    if (c <= ' ' || c > '~') return "the request's id holds a space or an unprintable character";
-  if (open_.hasId(r.id)) return "a request with this id is open";
+  if (r.id.empty() || r.id.size() > kMaxIdChars)
+    return "the request id is empty or longer than 128 characters";
+  for (const char c : r.id)  // the id is sent in space-separated lines
+    if (c <= ' ' || c > '~') return "the request id contains a space or an unprintable character";
+  if (open_.hasId(r.id)) return "a request with this id is already open";
   if (!below(r.queryClass, terms_.settings.classes.size())) return "unknown class";
   if (!terms_.contracts.empty() && !below(r.tenant, terms_.contracts.size())) return "unknown tenant";
   if (r.timeLeft <= 0 || r.timeLeft > terms_.longestDeadline) return "the deadline is out of range";
@@ -22,25 +28,26 @@
   double weights = 0;
   for (const auto& part : r.parts) {
     if (!below(part.shard, static_cast<std::size_t>(terms_.settings.shards))) return "unknown shard";
-    if (!shards.insert(part.shard).second) return "a shard is named twice";
-    if (!std::isfinite(part.weight) || part.weight < 0 || part.weight > 1) return "a share is out of range";
+    if (!shards.insert(part.shard).second) return "a shard occurs twice";
+    if (!std::isfinite(part.weight) || part.weight < 0 || part.weight > 1)
+      return "the share of a part is not between 0 and 1";
     weights += part.weight;
   }
-  // Shares that do not add up would make "whole" a lie.
-  if (std::abs(weights - 1) > 0.01) return "the shares do not add up to 1";
+  // Otherwise the delivered weight could not tell whether an answer is whole.
+  if (std::abs(weights - 1) > kWeightTolerance) return "the shares do not add up to 1";
   return std::nullopt;
 }
 
-RequestNo TakeIn::take(Request request, Front& front, Nanos now, Nanos end) {
+RequestNo Intake::take(Request request, Front& front, Nanos now, Nanos latestDue) {
   OpenRequest open;
   open.front = &front;
   open.takenAt = now;
-  open.due = std::min(now + request.timeLeft, end);
+  open.due = std::min(now + request.timeLeft, latestDue);
   open.query = std::make_shared<const std::string>(std::move(request.query));
   for (const auto& part : request.parts) open.parts.push_back(OpenPart{part.shard, {}, false, {}});
   open.request = std::move(request);
-  open_.add(++last_, std::move(open));
-  return last_;
+  open_.add(++lastNo_, std::move(open));
+  return lastNo_;
 }
 
 }  // namespace topazweir::broker
--- a/src/broker/take_in.hpp
+++ b/src/broker/take_in.hpp
@@ -1,4 +1,4 @@
-// Stage 1, take in: is this a request that can be served here at all?
+// Stage 1, intake: validates a request and registers it as open.
 #pragma once
 
 #include <optional>
@@ -9,18 +9,18 @@
 
 namespace topazweir::broker {
 
-class TakeIn {
+class Intake {
  public:
-  TakeIn(const Terms& terms, OpenRequests& open) : terms_(terms), open_(open) {}
-  // What is wrong with the request, in words for its client; none: it is taken.
-  std::optional<std::string> fault(const Request& request) const;
-  // `end`: no final answer is given after that.
-  RequestNo take(Request request, Front& front, Nanos now, Nanos end);
+  Intake(const Terms& terms, OpenRequests& open) : terms_(terms), open_(open) {}
+  // Why the request is invalid, as an error message for its client; nullopt if it is valid.
+  std::optional<std::string> validate(const Request& request) const;
+  // Registers a valid request. It is due at its own deadline or at `latestDue`, whichever comes first.
+  RequestNo take(Request request, Front& front, Nanos now, Nanos latestDue);
 
  private:
   const Terms& terms_;
   OpenRequests& open_;
-  RequestNo last_ = 0;
+  RequestNo lastNo_ = 0;
 };
 
 }  // namespace topazweir::broker
