--- a/src/calls/body.hpp
+++ b/src/calls/body.hpp
@@ -1,4 +1,4 @@
-// The bytes of a call that wait between two peers, and what bounds them.
+// Buffered bytes of a call between client and backend, and the limits on them.
 #pragma once
 
 #include <algorithm>
@@ -10,16 +10,17 @@
 
 namespace topazweir::calls {
 
-// Bytes held by all calls of a front together, in each direction. Shrinks as they go.
+// Buffer limit shared by all calls of a front: the bytes that they buffer together, in both directions.
 struct Pressure {
-  std::size_t most = 64 * 1024 * 1024;
-  std::size_t held = 0;
-  std::size_t peak = 0;
+  std::size_t most = 64 * 1024 * 1024;  // limit in bytes
+  std::size_t held = 0;                 // bytes buffered now
+  std::size_t peak = 0;                 // highest value of `held` so far
   bool full() const { return held >= most; }
 };
 
-// A queue of bytes that is read from any offset on; what nobody will read again is dropped. Bounded by its
-// users: the replay limit before a call is committed, the stream's window after it.
+// A queue of bytes that can be read from any retained offset. Bytes that will not be read again are released.
+// Its users bound its size: by the replay limit until the call is committed, then by the stream's
+// flow-control window.
 class Body {
  public:
   explicit Body(Pressure& pressure) : pressure_(&pressure) {}
@@ -30,11 +31,12 @@
   void append(std::string_view bytes) {
     if (bytes.empty()) return;
     pieces_.emplace_back(bytes);
-    kept_ += bytes.size(), end_ += bytes.size();
+    kept_ += bytes.size();
+    end_ += bytes.size();
     pressure_->held += bytes.size();
     pressure_->peak = std::max(pressure_->peak, pressure_->held);
   }
-  // Copies what stands from `offset` on, `most` bytes at most; the count.
+  // Copies the bytes from `offset` on, at most `most` of them, and returns their number.
   std::size_t read(std::uint64_t offset, char* to, std::size_t most) const {
     std::uint64_t at = end_ - kept_;
     std::size_t done = 0;
@@ -44,13 +46,14 @@
         const auto skip = static_cast<std::size_t>(offset - at);
         const auto take = std::min(most - done, piece.size() - skip);
         std::memcpy(to + done, piece.data() + skip, take);
-        done += take, offset += take;
+        done += take;
+        offset += take;
       }
       at += piece.size();
     }
     return done;
   }
-  // Drops whole pieces that end at or before `offset`; the count of bytes dropped.
+  // Drops the appended pieces that end at or before `offset`, and returns the number of bytes dropped.
   std::size_t release(std::uint64_t offset) {
     std::size_t dropped = 0;
     while (!pieces_.empty() && end_ - kept_ + pieces_.front().size() <= offset) {
@@ -61,8 +64,8 @@
     pressure_->held -= dropped;
     return dropped;
   }
-  std::uint64_t end() const { return end_; }  // offset behind the last byte that ever came
-  std::size_t kept() const { return kept_; }
+  std::uint64_t end() const { return end_; }  // offset one past the last byte appended
+  std::size_t kept() const { return kept_; }  // bytes retained
 
  private:
   Pressure* pressure_;
@@ -71,11 +74,11 @@
   std::size_t kept_ = 0;
 };
 
-// Follows a stream's message boundaries (PROTOCOL-HTTP2.md, "Length-Prefixed-Message": a flag, four bytes of
-// length, the message) without keeping any of it.
+// Tracks the message boundaries of a stream without storing its bytes. Each message has a prefix of a flag
+// byte and a length of four bytes (PROTOCOL-HTTP2.md, "Length-Prefixed-Message").
 class Meter {
  public:
-  // False: a message is longer than `most`.
+  // Consumes the stream's next bytes. Returns false if a message is longer than `most` bytes.
   bool take(std::string_view bytes, std::size_t most) {
     while (!bytes.empty()) {
       if (left_ > 0) {
@@ -86,10 +89,12 @@
       }
       if (prefix_ > 0) length_ = length_ << 8 | static_cast<unsigned char>(bytes.front());
       bytes.remove_prefix(1);
-      if (++prefix_ < 5) continue;
+      if (++prefix_ < kPrefixBytes) continue;
       if (length_ > most) return false;
       ++messages_;
-      left_ = length_, prefix_ = 0, length_ = 0;
+      left_ = length_;
+      prefix_ = 0;
+      length_ = 0;
     }
     return true;
   }
@@ -97,8 +102,11 @@
   std::uint64_t messages() const { return messages_; }
 
  private:
-  int prefix_ = 0;
-  std::uint64_t length_ = 0, left_ = 0, messages_ = 0;
+  static constexpr int kPrefixBytes = 5;
+  int prefix_ = 0;            // bytes of the current prefix read so far
+  std::uint64_t length_ = 0;  // length of the message, as far as its prefix has been read
+  std::uint64_t left_ = 0;    // bytes of the current message still to come
+  std::uint64_t messages_ = 0;
 };
 
 }  // namespace topazweir::calls
--- a/src/calls/call.cpp
+++ b/src/calls/call.cpp
@@ -7,14 +7,14 @@
 bool Call::requestData(std::string_view bytes) {
   if (!meter_.take(bytes, policy_.message)) tooLarge_ = true;
   request_.append(bytes);
-  if (committed_ || tooLong()) return false;
+  if (committed_ || exceedsReplay()) return false;
   acknowledged_ = request_.end();
   return true;
 }
 
 std::optional<int> Call::outgrown() const {
-  if (committed_ || !tooLong() || out_.empty()) return std::nullopt;
-  return out_.back();
+  if (committed_ || !exceedsReplay() || outstanding_.empty()) return std::nullopt;
+  return outstanding_.back();
 }
 
 std::size_t Call::requestTaken(std::uint64_t offset) {
@@ -25,9 +25,11 @@
   return static_cast<std::size_t>(more);
 }
 
-void Call::dropped(int attempt) { std::erase(out_, attempt); }
+void Call::dropped(int attempt) { std::erase(outstanding_, attempt); }
 
-bool Call::isOut(int attempt) const { return std::find(out_.begin(), out_.end(), attempt) != out_.end(); }
+bool Call::isOut(int attempt) const {
+  return std::find(outstanding_.begin(), outstanding_.end(), attempt) != outstanding_.end();
+}
 
 bool Call::commit(int attempt) {
   if (committed_ || finished_) return committed_ == attempt && !finished_;
@@ -44,23 +46,23 @@
   remember(verdict, e, std::move(trailers));
   Next next{committed_.has_value(), verdict.outcome, last_->counted, 0};
   if (next.final) {
-    // It was committed: whatever became of it is what became of the call.
+    // The call was committed to this attempt, so its end is the call's end.
   } else if (e.ending == Ending::trailers) {
-    // The service's own word ends the call, unless the route says that this word is worth another attempt,
-    // there is time for one and the backend does not forbid it.
-    const bool again = policy_.retries(verdict.code) && !pushback.stop && pushback.wait < timeLeft;
-    next.final = !again;
-    next.wait = again ? pushback.wait : 0;
+    // A status from the service ends the call, unless the route retries this status, the pushback allows it
+    // and leaves time for it.
+    const bool retry = policy_.retries(verdict.code) && !pushback.stop && pushback.wait < timeLeft;
+    next.final = !retry;
+    next.wait = retry ? pushback.wait : 0;
     if (next.final && last_->counted == Class::answered) next.outcome = Outcome::delivered;
-    if (again && next.outcome == Outcome::delivered) next.outcome = Outcome::error;
+    if (retry && next.outcome == Outcome::delivered) next.outcome = Outcome::error;
   } else {
-    next.final = e.ending == Ending::tooLarge;  // it would be as large again
+    next.final = e.ending == Ending::tooLarge;  // a retry would exceed the limit again
   }
   decided_ = next.final;
   return next;
 }
 
-// A status that the backend gave is passed on as it came; for all else words of our own.
+// Stores the status for the client: the backend's own unchanged, else one generated here.
 void Call::remember(const Verdict& verdict, const Ended& e, Fields trailers) {
   Final last;
   last.code = verdict.code;
@@ -72,28 +74,29 @@
     last.counted = Class::failed;
     last.trailers = writeStatus(verdict.code, verdict.words, std::nullopt);
   }
-  // A refusal of a copy must not hide what an earlier attempt was told by a service that had run it.
+  // A generated status of a later attempt, such as a refused hedge, must not hide a status that the service
+  // itself gave to an earlier one.
   const bool better = !last_ || last.fromBackend || !last_->fromBackend;
   if (better) last_ = std::move(last);
 }
 
-Final Call::finish(Class counted, bool overdue, Nanos comeBack) {
+Final Call::finish(Class counted, bool overdue, Nanos retryAfter) {
   finished_ = true;
   Final out;
   out.counted = counted;
   if (overdue && !decided_) {
     out.code = Code::deadlineExceeded;
-    out.trailers = writeStatus(out.code, "the time for the call has run out", std::nullopt);
+    out.trailers = writeStatus(out.code, "the deadline of the call has passed", std::nullopt);
   } else if (last_ && (committed_ || counted != Class::refused || last_->fromBackend)) {
     out = *last_;
     out.counted = counted;
-    // When to come back is said where the backend has not said it itself.
-    if (counted == Class::refused && comeBack > 0 && !readPushback(out.trailers).given)
-      out.trailers.push_back(writePushback(comeBack));
+    // The broker's retry advice is added only where the backend gave none.
+    if (counted == Class::refused && retryAfter > 0 && !readPushback(out.trailers).given)
+      out.trailers.push_back(writePushback(retryAfter));
   } else if (counted == Class::refused) {
     out.code = Code::unavailable;
-    out.trailers = writeStatus(out.code, "no server can take the call now; asking again is harmless",
-                               comeBack > 0 ? std::optional(comeBack) : std::nullopt);
+    out.trailers = writeStatus(out.code, "no server can accept the call now; a retry is safe",
+                               retryAfter > 0 ? std::optional(retryAfter) : std::nullopt);
   } else {
     out.code = Code::unknown;
     out.trailers = writeStatus(out.code, "the call has failed and may have run", std::nullopt);
--- a/src/calls/call.hpp
+++ b/src/calls/call.hpp
@@ -1,10 +1,10 @@
-// The course of one call: which attempt it belongs to, whether a further one is still possible, and the one
-// final status. Events in, decisions out; no clock, no wire.
+// State machine of one call: which attempt it is committed to, whether it can still be retried, and its one
+// final status. Events in, decisions out; it reads no clock and does no input or output.
 //
-// An attempt is committed once it has begun to answer (response headers that are not trailers-only), or once
-// the request has outgrown what may be kept for a further attempt, or has stayed open for so long that its
-// silence says nothing of the server. From then on the call belongs to that attempt (gRFC A6, "When Retries
-// are Valid").
+// A call is committed to an attempt once that attempt has begun to answer (response headers that are not
+// trailers-only), once the request has outgrown the replay buffer, or once the request has stayed open for so
+// long that a missing answer is no evidence against the server. A committed call is not retried (gRFC A6,
+// "When Retries are Valid").
 #pragma once
 
 #include <cstdint>
@@ -18,29 +18,29 @@
 
 namespace topazweir::calls {
 
-// What a route says of its calls.
+// The settings of a route for its calls.
 struct Policy {
-  std::uint32_t retryOn = 1U << static_cast<unsigned>(Code::unavailable);  // a bit for each code
-  Nanos attemptTime = 0;           // an attempt that has not begun to answer ends then; 0: when the call does
-  std::size_t replay = 64 * 1024;  // bytes of the request kept for a further attempt
-  std::size_t message = 4 * 1024 * 1024;  // the largest message, either way
+  std::uint32_t retryOn = 1U << static_cast<unsigned>(Code::unavailable);  // bit set of status codes to retry
+  Nanos attemptTime = 0;           // time for an attempt to begin its answer; 0: until the call's deadline
+  std::size_t replay = 64 * 1024;  // replay buffer: bytes of the request kept for a retry
+  std::size_t message = 4 * 1024 * 1024;  // largest message in bytes, in either direction
   bool retries(Code code) const { return retryOn >> static_cast<unsigned>(code) & 1U; }
 };
 
-// The one end of a call.
+// The final status of a call.
 struct Final {
   Class counted = Class::failed;
   Code code = Code::unknown;
   Fields trailers;
-  bool fromBackend = false;  // passed on as the backend gave it
+  bool fromBackend = false;  // passed on unchanged from the backend
 };
 
-// What to do with an attempt that has ended.
+// What follows from the end of an attempt.
 struct Next {
-  bool final = false;                // the call ends with it: `Call::last` is what the client is told
-  Outcome outcome = Outcome::error;  // for the module
-  Class counted = Class::failed;     // where final
-  Nanos wait = 0;                    // the backend asked for so long until a further attempt
+  bool final = false;                // the call ends with this attempt's status
+  Outcome outcome = Outcome::error;  // reported to the decision module
+  Class counted = Class::failed;     // how the call is counted, if final
+  Nanos wait = 0;                    // pushback: how long the backend asks to wait before a retry
 };
 
 class Call {
@@ -50,40 +50,43 @@
 
   // ---- the request ----
 
-  // Bytes have come. True: they may be acknowledged to the client at once, since they are kept for a further
-  // attempt or already on their way; false: only when an attempt has taken them.
+  // Appends bytes of the request. Returns true if they may be acknowledged to the client at once because the
+  // replay buffer holds them; false if only once an attempt has taken them.
   bool requestData(std::string_view bytes);
   void requestEnd() { requestEnded_ = true; }
   bool requestEnded() const { return requestEnded_; }
   bool requestTooLarge() const { return tooLarge_; }
   const Body& request() const { return request_; }
-  // Outgrown what may be kept of it, by itself or of all calls together: it is committed to `attempt`, the
-  // newest one out, if there is one.
+  // The attempt to commit to, the newest outstanding one, if the request has outgrown its replay buffer or
+  // the buffer limit of all calls is reached. nullopt: neither, already committed, or no attempt is
+  // outstanding.
   std::optional<int> outgrown() const;
-  // Of a committed call: bytes up to here have been taken; how many the client may be acknowledged for now.
+  // The committed attempt has taken the request's bytes up to `offset`. Returns how many further bytes may be
+  // acknowledged to the client; 0 for a call that is not committed.
   std::size_t requestTaken(std::uint64_t offset);
 
   // ---- attempts ----
 
-  void started(int attempt) { out_.push_back(attempt); }
-  void dropped(int attempt);  // cancelled
+  void started(int attempt) { outstanding_.push_back(attempt); }
+  void dropped(int attempt);  // it was cancelled
   bool isOut(int attempt) const;
   std::optional<int> committed() const { return committed_; }
-  // The attempt has begun to answer, or is to be kept for another reason. False: the call belongs to another
-  // one.
+  // Commits the call to the attempt. Returns false if it has finished or is committed to another attempt.
   bool commit(int attempt);
-  // An attempt's stream has ended. `trailers`: of the backend, where it gave a status.
+  // An attempt's stream has ended. `trailers`: the backend's, if it sent a status. `timeLeft`: until the
+  // call's deadline.
   Next ended(int attempt, const Ended& ended, Fields trailers, Nanos timeLeft);
 
   // ---- the end ----
 
-  // The call's end as the core has booked it. `overdue`: its time is up. `comeBack`: where refused; 0: no
-  // advice.
-  Final finish(Class counted, bool overdue, Nanos comeBack);
+  // The final status, given how the core has counted the call. `overdue`: its deadline has passed.
+  // `retryAfter`: advice to the client of a refused call; 0: none.
+  Final finish(Class counted, bool overdue, Nanos retryAfter);
   bool finished() const { return finished_; }
 
  private:
-  bool tooLong() const {
+  // Whether the request no longer fits the replay buffer or the shared buffer limit.
+  bool exceedsReplay() const {
     return request_.kept() > policy_.replay || (pressure_->full() && request_.kept() > 0);
   }
   void remember(const Verdict& verdict, const Ended& ended, Fields trailers);
@@ -92,12 +95,14 @@
   Pressure* pressure_;
   Body request_;
   Meter meter_;
-  std::vector<int> out_;  // attempts, oldest first
+  std::vector<int> outstanding_;  // attempts, oldest first
   std::optional<int> committed_;
-  std::uint64_t acknowledged_ = 0;  // bytes of the request
-  bool requestEnded_ = false, tooLarge_ = false, finished_ = false;
-  bool decided_ = false;       // an attempt's end was the call's
-  std::optional<Final> last_;  // what the last attempt that ended would tell the client
+  std::uint64_t acknowledged_ = 0;  // bytes of the request acknowledged to the client
+  bool requestEnded_ = false;
+  bool tooLarge_ = false;
+  bool finished_ = false;
+  bool decided_ = false;       // the end of an attempt was final for the call
+  std::optional<Final> last_;  // the status that the client gets if no further attempt ends
 };
 
 }  // namespace topazweir::calls
--- a/src/calls/links.hpp
+++ b/src/calls/links.hpp
@@ -1,4 +1,4 @@
-// Which connection of a backend a new stream takes. Pure: the connections as they stand in, the choice out.
+// Chooses the connection to a backend for a new stream. Pure function of the connections' states.
 #pragma once
 
 #include <cstddef>
@@ -7,34 +7,37 @@
 
 namespace topazweir::calls {
 
+// State of one connection.
 struct LinkState {
-  bool up = false;          // else it is coming up
-  bool closing = false;     // a GOAWAY has come, or its stream numbers are used up: takes nothing new
-  std::size_t streams = 0;  // open ones, and those that wait for it to come up
-  std::size_t most = 100;   // that its peer allows
+  bool up = false;          // established; false: still connecting
+  bool closing = false;     // takes no new streams: GOAWAY received or stream ids exhausted
+  std::size_t streams = 0;  // open streams and those waiting for the connection to be established
+  std::size_t most = 100;   // the peer's limit on concurrent streams
 };
 
+// Use the connection at position `at`, open a new one, or none is available.
 struct LinkChoice {
   enum class Kind { use, open, none } kind = Kind::none;
-  std::size_t at = 0;  // use: the position
+  std::size_t at = 0;  // for Kind::use
 };
 
-// The one with the fewest streams that is up; else one that is coming up; else, when all are full, a new one.
-// Those that close still serve what they hold: they do not count against the limit.
+// Prefers the established connection with the fewest streams, then the connecting one with the fewest; opens
+// a new one only when all are at their stream limit. Closing connections still serve their open streams and
+// do not count against `mostLinks`.
 inline LinkChoice chooseLink(const std::vector<LinkState>& links, std::size_t mostLinks) {
   std::optional<std::size_t> best;
-  std::size_t held = 0;  // that take, or will take, streams
+  std::size_t usable = 0;  // connections that accept new streams, now or once established
   for (std::size_t i = 0; i < links.size(); ++i) {
-    const auto& l = links[i];
-    if (l.closing) continue;
-    ++held;
-    if (l.streams >= l.most) continue;
-    const bool better =
-        !best || (l.up && !links[*best].up) || (l.up == links[*best].up && l.streams < links[*best].streams);
+    const auto& link = links[i];
+    if (link.closing) continue;
+    ++usable;
+    if (link.streams >= link.most) continue;
+    const bool better = !best || (link.up && !links[*best].up) ||
+                        (link.up == links[*best].up && link.streams < links[*best].streams);
     if (better) best = i;
   }
   if (best) return {LinkChoice::Kind::use, *best};
-  return {held < mostLinks ? LinkChoice::Kind::open : LinkChoice::Kind::none, 0};
+  return {usable < mostLinks ? LinkChoice::Kind::open : LinkChoice::Kind::none, 0};
 }
 
 }  // namespace topazweir::calls
--- a/src/calls/metadata.cpp
+++ b/src/calls/metadata.cpp
@@ -10,11 +10,11 @@
 
 namespace {
 
-constexpr std::string_view kPushback = "grpc-retry-pushback-ms";
-constexpr std::string_view kAttempts = "grpc-previous-rpc-attempts";
-constexpr std::string_view kTimeout = "grpc-timeout";
+constexpr std::string_view kPushbackField = "grpc-retry-pushback-ms";
+constexpr std::string_view kPreviousAttemptsField = "grpc-previous-rpc-attempts";
+constexpr std::string_view kTimeoutField = "grpc-timeout";
 
-// RFC 9113 section 8.2.2: fields about one connection, which mean nothing behind the next hop.
+// Connection-specific fields, which must not be forwarded (RFC 9113 section 8.2.2).
 bool hopByHop(std::string_view name) {
   static constexpr std::array<std::string_view, 6> kNames = {
       "connection", "proxy-connection", "keep-alive", "transfer-encoding", "upgrade", "te"};
@@ -49,13 +49,14 @@
 
 std::optional<Refusal> faultOf(const Fields& request) {
   if (!isGrpc(request)) return Refusal{415, Code::internal, "the content type is not application/grpc"};
-  if (find(request, ":method") != "POST") return Refusal{405, Code::internal, "calls are sent as POST"};
+  if (find(request, ":method") != "POST") return Refusal{405, Code::internal, "the method is not POST"};
   if (!readPath(find(request, ":path").value_or("")))
     return Refusal{200, Code::unimplemented, "the path is not /Service/Method"};
-  if (const auto timeout = find(request, kTimeout); timeout && !readTimeout(*timeout))
+  if (const auto timeout = find(request, kTimeoutField); timeout && !readTimeout(*timeout))
     return Refusal{200, Code::internal, "grpc-timeout is malformed"};
   if (const auto te = find(request, "te"); !te || *te != "trailers")
-    return Refusal{200, Code::internal, "te: trailers is missing: some hop drops trailers"};
+    return Refusal{200, Code::internal,
+                   "the header field te: trailers is missing; a proxy may drop trailers"};
   return std::nullopt;
 }
 
@@ -69,15 +70,17 @@
   const auto name = given(":authority");
   out.push_back({":authority", name.empty() ? std::string(authority) : name});
   out.push_back({"te", "trailers"});
-  out.push_back({std::string(kTimeout), writeTimeout(left)});
-  // What the client had counted of its own tries goes on counting.
+  out.push_back({std::string(kTimeoutField), writeTimeout(left)});
+  // Attempts made by the client or an earlier hop are added to this hop's.
   int before = 0;
-  if (const auto told = find(request, kAttempts))
+  if (const auto told = find(request, kPreviousAttemptsField))
     std::from_chars(told->data(), told->data() + told->size(), before);
   before = std::clamp(before, 0, 1'000'000);
-  if (before + attempt > 0) out.push_back({std::string(kAttempts), std::to_string(before + attempt)});
+  if (before + attempt > 0)
+    out.push_back({std::string(kPreviousAttemptsField), std::to_string(before + attempt)});
   for (const auto& f : request)
-    if (f.name.front() != ':' && !hopByHop(f.name) && f.name != kTimeout && f.name != kAttempts)
+    if (f.name.front() != ':' && !hopByHop(f.name) && f.name != kTimeoutField &&
+        f.name != kPreviousAttemptsField)
       out.push_back(f);
   return out;
 }
@@ -105,7 +108,7 @@
 }
 
 Pushback readPushback(const Fields& trailers) {
-  const auto text = find(trailers, kPushback);
+  const auto text = find(trailers, kPushbackField);
   if (!text) return {};
   Nanos millis = -1;
   const auto [end, error] = std::from_chars(text->data(), text->data() + text->size(), millis);
@@ -115,13 +118,13 @@
 }
 
 Field writePushback(Nanos wait) {
-  return {std::string(kPushback), std::to_string((wait + 999'999) / 1'000'000)};
+  return {std::string(kPushbackField), std::to_string((wait + 999'999) / 1'000'000)};
 }
 
-Fields writeStatus(Code code, std::string_view words, std::optional<Nanos> comeBack) {
+Fields writeStatus(Code code, std::string_view words, std::optional<Nanos> retryAfter) {
   Fields out{{"grpc-status", std::to_string(static_cast<int>(code))}};
   if (!words.empty()) out.push_back({"grpc-message", encodeMessage(words)});
-  if (comeBack) out.push_back(writePushback(*comeBack));
+  if (retryAfter) out.push_back(writePushback(*retryAfter));
   return out;
 }
 
--- a/src/calls/routes.cpp
+++ b/src/calls/routes.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-// "dawa.stock.Catalogue" -> dawa, stock, Catalogue. Views into the text.
+// Visits the components of a service name ("dawa.stock.Catalogue": dawa, stock, Catalogue) as views into it.
 template <class Visit>
-void eachWord(std::string_view service, Visit&& visit) {
+void forEachComponent(std::string_view service, Visit&& visit) {
   while (!service.empty()) {
     const auto dot = std::min(service.find('.'), service.size());
     visit(service.substr(0, dot));
@@ -17,10 +17,13 @@
   }
 }
 
-auto rank(const Match& m) { return std::tuple(!m.authority.empty(), m.exact.size(), m.present.size()); }
+auto specificity(const Match& m) {
+  return std::tuple(!m.authority.empty(), m.exact.size(), m.present.size());
+}
 
-// Could one call match both? Not if they name different authorities, or different values under one key.
-bool meet(const Match& a, const Match& b) {
+// Whether one call could match both: not if they require different authorities or different values of one
+// field.
+bool overlap(const Match& a, const Match& b) {
   if (a.authority != b.authority && !a.authority.empty() && !b.authority.empty()) return false;
   for (const auto& x : a.exact)
     for (const auto& y : b.exact)
@@ -28,15 +31,15 @@
   return true;
 }
 
-bool sameHost(std::string_view asked, std::string_view host) {
+bool equalIgnoringCase(std::string_view asked, std::string_view host) {
   const auto lower = [](char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c; };
   return std::equal(asked.begin(), asked.end(), host.begin(), host.end(),
                     [&](char x, char y) { return lower(x) == lower(y); });
 }
 
-// Why it does not match; empty: it does.
+// Why the route does not match the header fields; empty if it does.
 std::string mismatch(const Match& m, const Fields& head) {
-  if (!m.authority.empty() && !sameHost(find(head, ":authority").value_or(""), m.authority))
+  if (!m.authority.empty() && !equalIgnoringCase(find(head, ":authority").value_or(""), m.authority))
     return "the authority is not " + m.authority;
   for (const auto& want : m.exact) {
     const bool has = std::any_of(head.begin(), head.end(), [&](const Field& f) { return f == want; });
@@ -63,7 +66,7 @@
 std::variant<Routes, std::string> Routes::compile(const std::vector<Match>& matches) {
   Routes out;
   out.matches_ = matches;
-  out.root_ = std::make_unique<Step>();
+  out.root_ = std::make_unique<Node>();
   for (std::size_t i = 0; i < matches.size(); ++i) out.add(i);
   if (auto fault = out.sortAll(*out.root_)) return std::move(*fault);
   return out;
@@ -71,35 +74,36 @@
 
 void Routes::add(std::size_t route) {
   const Match& m = matches_[route];
-  Step* at = root_.get();
+  Node* at = root_.get();
   const auto go = [&](std::string_view word) {
     auto& next = at->next[std::string(word)];
-    if (!next) next = std::make_unique<Step>();
+    if (!next) next = std::make_unique<Node>();
     at = next.get();
   };
-  eachWord(m.service, go);
+  forEachComponent(m.service, go);
   if (m.kind == Match::Kind::method) go("/" + m.method);
   const bool open = m.kind == Match::Kind::any || m.kind == Match::Kind::prefix;
-  (open ? at->prefix : at->here).push_back(route);
+  (open ? at->prefix : at->exact).push_back(route);
 }
 
 std::optional<std::string> Routes::sort(std::vector<std::size_t>& routes) {
-  std::stable_sort(routes.begin(), routes.end(),
-                   [&](std::size_t a, std::size_t b) { return rank(matches_[a]) > rank(matches_[b]); });
+  std::stable_sort(routes.begin(), routes.end(), [&](std::size_t a, std::size_t b) {
+    return specificity(matches_[a]) > specificity(matches_[b]);
+  });
   for (std::size_t i = 0; i < routes.size(); ++i)
     for (std::size_t j = i + 1; j < routes.size(); ++j) {
       const auto &a = matches_[routes[i]], &b = matches_[routes[j]];
-      if (rank(a) == rank(b) && meet(a, b))
+      if (specificity(a) == specificity(b) && overlap(a, b))
         return "routes " + std::to_string(routes[i]) + " and " + std::to_string(routes[j]) +
                " are equal: " + a.text() + " and " + b.text();
     }
   return std::nullopt;
 }
 
-std::optional<std::string> Routes::sortAll(Step& step) {
-  for (auto* routes : {&step.here, &step.prefix})
+std::optional<std::string> Routes::sortAll(Node& node) {
+  for (auto* routes : {&node.exact, &node.prefix})
     if (auto fault = sort(*routes)) return fault;
-  for (auto& [word, next] : step.next)
+  for (auto& [word, next] : node.next)
     if (auto fault = sortAll(*next)) return fault;
   return std::nullopt;
 }
@@ -107,16 +111,16 @@
 std::optional<std::size_t> Routes::find(const Fields& head, std::vector<Considered>* considered) const {
   const auto path = readPath(calls::find(head, ":path").value_or(""));
   if (!path) return std::nullopt;
-  std::vector<const Step*> walked{root_.get()};
-  bool whole = true;  // the service's words all led somewhere
-  eachWord(path->service, [&](std::string_view word) {
+  std::vector<const Node*> visited{root_.get()};
+  bool whole = true;  // the trie has all components of the service
+  forEachComponent(path->service, [&](std::string_view word) {
     if (!whole) return;
-    const auto at = walked.back()->next.find(word);
-    whole = at != walked.back()->next.end();
-    if (whole) walked.push_back(at->second.get());
+    const auto at = visited.back()->next.find(word);
+    whole = at != visited.back()->next.end();
+    if (whole) visited.push_back(at->second.get());
   });
   std::optional<std::size_t> found;
-  const auto look = [&](const std::vector<std::size_t>& routes) {
+  const auto examine = [&](const std::vector<std::size_t>& routes) {
     for (const auto route : routes) {
       if (found) return;
       const auto why = mismatch(matches_[route], head);
@@ -125,14 +129,14 @@
     }
   };
   if (whole) {
-    const auto method = walked.back()->next.find("/" + std::string(path->method));
-    if (method != walked.back()->next.end()) look(method->second->here);
-    look(walked.back()->here);
-    // A prefix names whole packages: it holds what stands below it, not a service of that very name.
-    walked.pop_back();
+    const auto method = visited.back()->next.find("/" + std::string(path->method));
+    if (method != visited.back()->next.end()) examine(method->second->exact);
+    examine(visited.back()->exact);
+    // A prefix names a package: it matches services inside it, not a service of exactly that name.
+    visited.pop_back();
   }
-  if (walked.empty()) walked.push_back(root_.get());
-  for (auto step = walked.rbegin(); step != walked.rend() && !found; ++step) look((*step)->prefix);
+  if (visited.empty()) visited.push_back(root_.get());
+  for (auto step = visited.rbegin(); step != visited.rend() && !found; ++step) examine((*step)->prefix);
   return found;
 }
 
--- a/src/calls/routes.hpp
+++ b/src/calls/routes.hpp
@@ -1,9 +1,10 @@
-// Which route a call takes. The table is compiled once into a trie of the path's words ("dawa", "Catalogue",
-// "/Search"); a look-up walks the words of one path and never the list of routes.
+// Routing table for calls. It is compiled once into a trie of the path's components ("dawa", "Catalogue",
+// "/Search"); a look-up walks the components of one path instead of the list of routes.
 //
-// Most specific first: the exact method before the service, that before the longest prefix; on one level a
-// named authority before any, then the more metadata conditions (an exact value counts more than mere
-// presence). Two routes that could both match and stand on the same step are a fault.
+// The most specific route wins: the exact method before the service, the service before the longest prefix.
+// At one level a route with an authority goes before one without, then the one with more metadata conditions,
+// where exact values count before mere presence. Two routes at one node of the trie that are equally specific
+// and could match the same call are an error.
 #pragma once
 
 #include <cstdint>
@@ -19,44 +20,49 @@
 
 namespace topazweir::calls {
 
+// The conditions of one route.
 struct Match {
   enum class Kind : std::uint8_t { any, prefix, service, method };
   Kind kind = Kind::any;
-  std::string service;               // of a prefix: whole words, "dawa" for "dawa.stock.Catalogue"
-  std::string method;                // of Kind::method
-  std::string authority;             // exact, in lower case; empty: any
-  Fields exact;                      // metadata with these values
-  std::vector<std::string> present;  // metadata with any value
+  std::string service;               // for Kind::prefix: whole components, "dawa" for "dawa.stock.Catalogue"
+  std::string method;                // for Kind::method
+  std::string authority;             // matched without regard to case; empty: any
+  Fields exact;                      // metadata required with these values
+  std::vector<std::string> present;  // metadata required with any value
 
   std::string text() const;  // "/dawa.Catalogue/Search authority=a x-tier=gold x-debug=*"
 };
 
+// A route examined by a look-up.
 struct Considered {
-  std::size_t route;
-  std::string why;  // it was not taken, or was
+  std::size_t route;  // index
+  std::string why;    // why the route matched or did not match
 };
 
 class Routes {
  public:
-  // Positions in `matches` are the routes' numbers. The text names two routes that are equal.
+  // Routes are numbered by their position in `matches`. Returns an error message if two routes are equally
+  // specific and could match the same call.
   static std::variant<Routes, std::string> compile(const std::vector<Match>& matches);
 
-  // The route of a request's head; none: no route matches. `considered`, where given, gets each route looked
-  // at, in order.
+  // The route for a request's header fields; nullopt if none matches. `considered`, if given, receives each
+  // route examined, in order.
   std::optional<std::size_t> find(const Fields& head, std::vector<Considered>* considered = nullptr) const;
   std::size_t size() const { return matches_.size(); }
 
  private:
-  struct Step {
-    std::map<std::string, std::unique_ptr<Step>, std::less<>> next;
-    std::vector<std::size_t> prefix, here;  // routes of Kind::prefix or any; of Kind::service or method
+  // A node of the trie.
+  struct Node {
+    std::map<std::string, std::unique_ptr<Node>, std::less<>> next;
+    std::vector<std::size_t> prefix;  // routes of Kind::prefix or any
+    std::vector<std::size_t> exact;   // routes of Kind::service or method
   };
   void add(std::size_t route);
   std::optional<std::string> sort(std::vector<std::size_t>& routes);
-  std::optional<std::string> sortAll(Step& step);
+  std::optional<std::string> sortAll(Node& node);
 
   std::vector<Match> matches_;
-  std::unique_ptr<Step> root_;
+  std::unique_ptr<Node> root_;
 };
 
 }  // namespace topazweir::calls
--- a/src/calls/status.cpp
+++ b/src/calls/status.cpp
@@ -13,8 +13,8 @@
   Meaning meaning;
 };
 
-// answered: the service has said what there is to say, be it "no such thing". refused: it turned the call
-// away and asking again is what it wants. failed: it, or the way there, broke.
+// Indexed by Code. answered: the service gave a definite result, even if it is "not found". refused: it shed
+// the call and expects a retry. failed: the service or the connection to it failed.
 constexpr std::array<Row, kCodes> kRows = {{
     {"OK", {Class::answered, Outcome::delivered}},
     {"CANCELLED", {Class::failed, Outcome::error}},
@@ -24,7 +24,8 @@
     {"NOT_FOUND", {Class::answered, Outcome::delivered}},
     {"ALREADY_EXISTS", {Class::answered, Outcome::delivered}},
     {"PERMISSION_DENIED", {Class::answered, Outcome::delivered}},
-    // A server says these two of itself, but also after it has begun: no proof that nothing ran.
+    // Like UNAVAILABLE below, servers send this when overloaded but also after they have begun to process the
+    // call, so it does not prove that the call did not run.
     {"RESOURCE_EXHAUSTED", {Class::refused, Outcome::error}},
     {"FAILED_PRECONDITION", {Class::answered, Outcome::delivered}},
     {"ABORTED", {Class::answered, Outcome::delivered}},
@@ -36,9 +37,10 @@
     {"UNAUTHENTICATED", {Class::answered, Outcome::delivered}},
 }};
 
-// RFC 9113 section 7, in the order of its codes; gRPC's own column from PROTOCOL-HTTP2.md, "Errors". Codes
-// that it leaves open (STREAM_CLOSED, HTTP_1_1_REQUIRED) are UNKNOWN, as for codes that nobody knows.
-constexpr std::array<Code, 14> kHttp2 = {
+// RFC 9113 section 7, in the order of its codes; the gRPC codes are those of PROTOCOL-HTTP2.md,
+// "Errors". Codes that it does not map (STREAM_CLOSED, HTTP_1_1_REQUIRED) become UNKNOWN, like unassigned
+// codes.
+constexpr std::array<Code, 14> kCodeOfHttp2Error = {
     Code::internal,           // NO_ERROR
     Code::internal,           // PROTOCOL_ERROR
     Code::internal,           // INTERNAL_ERROR
@@ -108,21 +110,23 @@
               Outcome::error, true};
     case Ending::resetByPeer: {
       const bool refused = e.http2 == kRefusedStream;  // RFC 9113 section 8.7: not processed
-      const Code code = e.http2 < kHttp2.size() ? kHttp2[e.http2] : Code::unknown;
+      const Code code = e.http2 < kCodeOfHttp2Error.size() ? kCodeOfHttp2Error[e.http2] : Code::unknown;
       return {code, "the backend reset the stream", refused ? Outcome::rejected : Outcome::error, !refused};
     }
-    case Ending::aboveGoaway:  // it goes away: turned away, not broken
-      return {Code::unavailable, "the backend is going away", Outcome::rejected, false};
+    case Ending::aboveGoaway:  // a graceful shutdown: rejected, not a failure
+      return {Code::unavailable, "the backend is closing the connection", Outcome::rejected, false};
     case Ending::lostBefore:
       return {Code::unavailable, "no connection to the backend", Outcome::connectFailed, false};
     case Ending::lostAfter:
       return {Code::unavailable, "the connection to the backend broke", Outcome::reset, true};
     case Ending::silent:
-      return {Code::unavailable, "the backend did not answer in the attempt's time", Outcome::timedOut, true};
+      return {Code::unavailable, "the backend did not answer within the attempt's time-out",
+              Outcome::timedOut, true};
     case Ending::noStream:
-      return {Code::unavailable, "no stream to the backend is free", Outcome::notSent, false};
+      return {Code::unavailable, "no stream to the backend is available", Outcome::notSent, false};
     case Ending::tooLarge:
-      return {Code::resourceExhausted, "larger than the limit", Outcome::error, true};
+      return {Code::resourceExhausted, "a message or the header fields exceed the size limit", Outcome::error,
+              true};
   }
   return {};
 }
--- a/src/calls/status.hpp
+++ b/src/calls/status.hpp
@@ -1,9 +1,9 @@
-// Every way in which a call can end, each mapped once: to the client's status, to the core's verdict and to
-// the decision module's outcome.
+// Maps every way in which an attempt or a call can end to the client's status, to how the call is counted and
+// to the decision module's outcome. This is the only place with such a mapping.
 //
 // Sources: gRPC, "Status codes and their use in gRPC" (statuscodes.md); "gRPC over HTTP2"
-// (PROTOCOL-HTTP2.md), section "Errors", for RST_STREAM codes; "HTTP to gRPC Status Code Mapping"
-// (http-grpc-status-mapping.md); RFC 9113 section 8.7 for what is known not to have run.
+// (PROTOCOL-HTTP2.md), section "Errors", for RST_STREAM error codes; "HTTP to gRPC Status Code Mapping"
+// (http-grpc-status-mapping.md); RFC 9113 section 8.7 for calls known not to have run.
 #pragma once
 
 #include <cstdint>
@@ -15,6 +15,7 @@
 
 namespace topazweir::calls {
 
+// gRPC status codes, with their numeric values.
 enum class Code : std::uint8_t {
   ok,
   cancelled,
@@ -36,53 +37,57 @@
 };
 inline constexpr int kCodes = 17;
 
-// "UNAVAILABLE"
+// The name as in the gRPC specification, such as "UNAVAILABLE".
 std::string_view nameOf(Code code);
+// The inverse of nameOf(); nullopt for an unknown name.
 std::optional<Code> codeNamed(std::string_view name);
-// The value of a grpc-status field; a number that is none of the codes counts as UNKNOWN, as clients take it;
-// what is no number at all gives none.
+// Parses the value of a grpc-status field. A number that is no known code gives UNKNOWN, as in gRPC clients;
+// nullopt if it is not a number.
 std::optional<Code> readCode(std::string_view digits);
 
-// What a call has come to, as the operators count it.
+// How a call has ended, as counted in the metrics.
 enum class Class : std::uint8_t { answered, refused, failed };
 
+// Interpretation of a status code.
 struct Meaning {
-  Class counted;    // how a call that ends so is counted
-  Outcome outcome;  // what the module is told of an attempt that ends so and is not passed on
+  Class counted;    // how a call that ends with it is counted
+  Outcome outcome;  // reported to the decision module for an attempt that ends with it
 };
-// For a status that a backend gave itself, with its trailers whole.
+// For a status that the backend sent itself in complete trailers.
 Meaning meaningOf(Code code);
 
-// An HTTP response without grpc-status: some proxy's, or no gRPC server.
+// The status for an HTTP response without grpc-status, sent by a proxy or a server that does not speak gRPC.
 Code codeOfHttp(int status);
 
-// How an attempt's stream came to its end.
+// How an attempt's stream ended.
 enum class Ending : std::uint8_t {
-  trailers,     // in order, with a grpc-status
-  noStatus,     // END_STREAM, but no grpc-status: cut before its trailers
-  badResponse,  // what came is no gRPC response
+  trailers,     // regular end with a grpc-status
+  noStatus,     // END_STREAM without grpc-status: truncated before its trailers
+  badResponse,  // not a gRPC response
   resetByPeer,  // RST_STREAM, with an HTTP/2 error code
-  aboveGoaway,  // a GOAWAY named a lower last stream: RFC 9113 section 6.8 says that it has not run
-  lostBefore,   // the connection ended before the request was written whole, or never came up
-  lostAfter,    // the connection ended after that
-  silent,       // nothing came in the attempt's time
-  noStream,     // no connection or stream could be had for it: nothing was sent
-  tooLarge      // a message, or a head, over the limit
+  aboveGoaway,  // GOAWAY with a lower last stream id: did not run (RFC 9113 section 6.8)
+  lostBefore,   // the connection failed, or ended before the request was completely written
+  lostAfter,    // the connection ended after the request was completely written
+  silent,       // no answer within the attempt's time-out
+  noStream,     // no connection or stream was available: nothing was sent
+  tooLarge      // a message or the header fields exceed their limit
 };
 
+// The end of an attempt's stream.
 struct Ended {
   Ending ending = Ending::trailers;
   std::uint32_t http2 = 0;       // resetByPeer: the error code
-  std::optional<Code> status{};  // trailers: the status
-  std::optional<int> http{};     // badResponse: the HTTP status, where it is the reason
+  std::optional<Code> status{};  // trailers: the gRPC status
+  std::optional<int> http{};     // badResponse: the HTTP status, if that is the reason
   bool operator==(const Ended&) const = default;
 };
 
+// What the end of an attempt means for its call.
 struct Verdict {
-  Code code = Code::unknown;         // what the client is told if this is the end of its call
-  std::string_view words;            // beside the code, where no backend gave any
-  Outcome outcome = Outcome::error;  // for the module
-  bool ran = true;                   // it may have run: only what cannot have makes an unsafe call repeatable
+  Code code = Code::unknown;         // the client's status if the call ends with this attempt
+  std::string_view words;            // message for the client if the backend sent none
+  Outcome outcome = Outcome::error;  // reported to the decision module
+  bool ran = true;                   // may have run; an unsafe call may be retried only if false
 };
 Verdict verdictOf(const Ended& ended);
 
--- a/src/calls/timeout.hpp
+++ b/src/calls/timeout.hpp
@@ -1,4 +1,5 @@
-// grpc-timeout: PROTOCOL-HTTP2.md, "Requests": TimeoutValue of 1 to 8 digits, then one unit of H M S m u n.
+// The grpc-timeout header field: 1 to 8 digits and one of the units H M S m u n (PROTOCOL-HTTP2.md,
+// "Requests").
 #pragma once
 
 #include <optional>
@@ -9,13 +10,15 @@
 
 namespace topazweir::calls {
 
-// Nanoseconds, capped at the largest moment that can be reckoned with (about 100 years); none: malformed.
+// Parses the time-out to nanoseconds, capped at 100 years to avoid overflow in later arithmetic; nullopt if
+// it is malformed.
 std::optional<Nanos> readTimeout(std::string_view text);
-// The shortest text that is no longer than `left`: a deadline must not grow on its way. `left` below 1: "1n".
+// Formats `left` in the finest unit that fits into 8 digits, rounded down, so that a deadline never grows
+// from hop to hop. Values below 1 ns give "1n".
 std::string writeTimeout(Nanos left);
 
-// How long a call has from now: the client's time, bounded by the route's, whichever ends first; without a
-// client's time the route's.
+// The time until the deadline of a call: the client's time-out, limited by the route's; the route's if the
+// client gave none.
 inline Nanos timeFor(std::optional<Nanos> asked, Nanos routeDeadline) {
   return asked && *asked < routeDeadline ? *asked : routeDeadline;
 }
