--- a/src/operation/call.hpp
+++ b/src/operation/call.hpp
@@ -1,4 +1,4 @@
-// What an operator's line asks for, and how it is answered. Pure.
+// Parses operator commands, one line each, and formats the replies. Pure functions.
 #pragma once
 
 #include <string>
@@ -7,23 +7,29 @@
 
 namespace topazweir::operation {
 
+// The operator commands.
 enum class CallKind { ready, disableServer, enableServer, drain, resume };
 
+// A parsed command.
 struct Call {
   CallKind kind = CallKind::ready;
-  std::string instance;  // of a leaf, for the two calls on servers
+  std::string instance;  // id of a leaf, for disableServer and enableServer
 };
 
-// Longest line, without its end. The wire bounds it too; an instance's id holds 128 characters at most.
-inline constexpr std::size_t kMostLine = 256, kMostInstance = 128;
+// Longest command line in bytes, without its line end; the line server enforces it too.
+inline constexpr std::size_t kMostLine = 256;
+// Longest instance id in characters.
+inline constexpr std::size_t kMaxInstanceChars = 128;
 
-// The call, or why the line is none. Words are parted by blanks; a carriage return before the line's end is
-// passed over.
+// Parses a line; returns an error message if it is not a command. Words are separated by blanks; a carriage
+// return before the line's end is ignored.
 std::variant<Call, std::string> readCall(std::string_view line);
 
+// The reply to a command.
 struct Reply {
-  bool yes = false;
+  bool yes = false;  // acknowledged
   std::string why;
+  // The reply line, "ACK ..." or "NAK ...".
   std::string text() const { return (yes ? "ACK " : "NAK ") + why + "\n"; }
 };
 
--- a/src/operation/cold_sends.cpp
+++ b/src/operation/cold_sends.cpp
@@ -13,16 +13,19 @@
   for (auto& [instance, sends] : own_)
     while (!sends.empty() && now - sends.front() >= coldFor_) sends.pop_front();
   std::erase_if(own_, [](const auto& entry) { return entry.second.empty(); });
-  std::erase_if(told_, [&](const auto& entry) { return now - entry.second >= coldFor_; });
+  std::erase_if(lastFromPeers_, [&](const auto& entry) { return now - entry.second >= coldFor_; });
   return own_;
 }
 
 std::vector<ColdSends::Send> ColdSends::fresh(const ByInstance& theirs) {
   std::vector<Send> out;
   for (const auto& [instance, sends] : theirs) {
-    Nanos& last = told_.try_emplace(instance, 0).first->second;
+    Nanos& last = lastFromPeers_.try_emplace(instance, 0).first->second;
     for (const Nanos at : sends)
-      if (at > last) out.push_back({instance, at}), last = at;
+      if (at > last) {
+        out.push_back({instance, at});
+        last = at;
+      }
   }
   return out;
 }
--- a/src/operation/cold_sends.hpp
+++ b/src/operation/cold_sends.hpp
@@ -1,4 +1,5 @@
-// What was sent to cold leafs of late: the process that follows stands under the same ceiling. Pure.
+// Recent sends to leafs in slow start. The processes of one aggregator exchange them during an upgrade,
+// because together they stay under the same slow-start limit. Does no input or output.
 #pragma once
 
 #include <deque>
@@ -10,29 +11,34 @@
 
 namespace topazweir::operation {
 
+// Times are Unix time in nanoseconds.
 class ColdSends {
  public:
-  using ByInstance = std::map<std::string, std::deque<Nanos>>;  // moments of sends, oldest first
+  using ByInstance = std::map<std::string, std::deque<Nanos>>;  // send times by instance id, oldest first
 
+  // `coldFor`: how long a leaf is cold after its start.
   explicit ColdSends(Nanos coldFor) : coldFor_(coldFor) {}
 
+  // Records a send to a leaf if the leaf is cold; `startedAt` 0: started long ago.
   void note(const std::string& instance, Nanos startedAt, Nanos now);
-  const ByInstance& recent(Nanos now);  // within the time that a leaf is cold
+  // This process's sends within the last `coldFor`.
+  const ByInstance& recent(Nanos now);
 
-  // Of what another process tells, the sends that were not told before.
+  // One send by another process.
   struct Send {
     std::string instance;
     Nanos at = 0;
   };
+  // Returns those of another process's sends that earlier calls have not returned.
   std::vector<Send> fresh(const ByInstance& theirs);
 
-  // Far more than the ceiling lets through in the time that a leaf is cold; the latest are kept.
+  // Sends kept per leaf, the latest ones; far more than the slow-start limit admits while a leaf is cold.
   static constexpr std::size_t kMost = 256;
 
  private:
   Nanos coldFor_;
   ByInstance own_;
-  std::map<std::string, Nanos> told_;  // by instance: the latest send of the other process
+  std::map<std::string, Nanos> lastFromPeers_;  // by instance: the latest send received from other processes
 };
 
 }  // namespace topazweir::operation
--- a/src/operation/holds.cpp
+++ b/src/operation/holds.cpp
@@ -10,23 +10,23 @@
     if (all_.size() >= kMost) return !out;
   }
   Hold& hold = all_.try_emplace(std::string(instance)).first->second;
-  // Noted though it changes nothing here: another process may not have heard of the calls that this one has.
-  auto& moment = out ? hold.outAt : hold.backAt;
-  moment = std::max({now, hold.outAt + 1, hold.backAt + 1});
+  // Recorded even if the state does not change: another process may know a different sequence of commands.
+  auto& commandAt = out ? hold.outAt : hold.backAt;
+  commandAt = std::max({now, hold.outAt + 1, hold.backAt + 1});
   return true;
 }
 
 std::vector<std::string> Holds::merge(const ByInstance& theirs) {
-  std::vector<std::string> moved;
+  std::vector<std::string> changed;
   for (const auto& [instance, their] : theirs) {
     if (!known(instance) && all_.size() >= kMost) continue;
     Hold& own = all_.try_emplace(instance).first->second;
     const bool was = own.out();
     own.outAt = std::max(own.outAt, their.outAt);
     own.backAt = std::max(own.backAt, their.backAt);
-    if (own.out() != was) moved.push_back(instance);
+    if (own.out() != was) changed.push_back(instance);
   }
-  return moved;
+  return changed;
 }
 
 void Holds::forget(Nanos now) {
--- a/src/operation/holds.hpp
+++ b/src/operation/holds.hpp
@@ -1,5 +1,5 @@
-// Which leafs operators have taken out of service. Pure; two processes that each were told a part of it agree
-// once each has merged the other's, in whatever order.
+// The leafs that operators have taken out of service. Processes that have received different commands
+// converge once they have merged each other's state, in any order. Does no input or output.
 #pragma once
 
 #include <map>
@@ -11,36 +11,38 @@
 
 namespace topazweir::operation {
 
-// The moments of the latest calls for one leaf, 0: never. Both only grow, so that merging takes the larger.
+// The times of the latest commands for one leaf. Both only grow, so merging takes the larger of each.
 struct Hold {
-  Nanos outAt = 0, backAt = 0;  // Unix time
+  Nanos outAt = 0;   // of disable-server, Unix time; 0: never
+  Nanos backAt = 0;  // of enable-server, Unix time; 0: never
   bool out() const { return outAt > backAt; }
   bool operator==(const Hold&) const = default;
 };
 
+// The holds of all leafs, by instance id.
 class Holds {
  public:
   using ByInstance = std::map<std::string, Hold, std::less<>>;
 
-  // Notes a call at `now`; it outranks every earlier one, also where the clock has stood still. False: there
-  // is no room for a further leaf that is out.
+  // Records a command at `now`. It takes precedence over every earlier one, even if the clock has not
+  // advanced. Returns false if the leaf cannot be taken out because the table is full.
   bool set(std::string_view instance, bool out, Nanos now);
-  // Takes over what another process knows. Returns the leafs that are now out, or back, by that.
+  // Merges another process's state and returns the leafs whose state has changed by it.
   std::vector<std::string> merge(const ByInstance& theirs);
-  // Forgets what is long back in service: a hold that is lifted is of no use once every process knows it.
+  // Removes leafs that have been back in service for longer than kKept: by then every process knows it.
   void forget(Nanos now);
 
   bool known(std::string_view instance) const { return all_.find(instance) != all_.end(); }
   bool out(std::string_view instance) const;
   std::size_t countOut() const;
-  // When the leaf is to be taken to have started, where a list says `told` (0: long ago). Operators restart a
-  // leaf while it is out, and lists are seconds late: without word of a start since, it counts as cold from
-  // the call back.
+  // The start time to assume for a leaf whose announced start time is `told` (0: long ago). Operators restart
+  // leafs while they are out, and server lists arrive seconds late. So a leaf that is back in service and has
+  // no announced start since it was taken out counts as started, and cold, from the time it was put back.
   Nanos startedAt(std::string_view instance, Nanos told) const;
   const ByInstance& all() const { return all_; }
 
-  static constexpr std::size_t kMost = 4096;       // leafs, out or back
-  static constexpr Nanos kKept = 600'000'000'000;  // after the call back
+  static constexpr std::size_t kMost = 4096;       // leafs in the table, out or back in service
+  static constexpr Nanos kKept = 600'000'000'000;  // nanoseconds after the leaf was put back
 
  private:
   ByInstance all_;
--- a/src/operation/operation.cpp
+++ b/src/operation/operation.cpp
@@ -13,11 +13,11 @@
       return {ready(), {}};
     case CallKind::disableServer:
     case CallKind::enableServer:
-      return move(call, listed, now);
+      return setServer(call, listed, now);
     case CallKind::drain:
-      return turn(true, now);
+      return setDrained(true, now);
     case CallKind::resume:
-      return turn(false, now);
+      return setDrained(false, now);
   }
   return {{false, "unknown call"}, {}};
 }
@@ -35,9 +35,10 @@
   return {};
 }
 
-Answered Operation::move(const Call& call, bool listed, Nanos now) {
+Answered Operation::setServer(const Call& call, bool listed, Nanos now) {
   if (!listed && !holds_.known(call.instance)) return {{false, "no server has the id " + call.instance}, {}};
-  const bool out = call.kind == CallKind::disableServer, was = holds_.out(call.instance);
+  const bool out = call.kind == CallKind::disableServer;
+  const bool was = holds_.out(call.instance);
   if (!holds_.set(call.instance, out, now))
     return {{false, "too many servers are out of service: " + std::to_string(Holds::kMost)}, {}};
   const std::string state = out ? "out of service" : "in service";
@@ -45,9 +46,10 @@
   return {{true, call.instance + " is " + state}, {{call.instance}, false}};
 }
 
-Answered Operation::turn(bool drained, Nanos now) {
+Answered Operation::setDrained(bool drained, Nanos now) {
   const bool was = drained_.on;
-  // One that is to end can't take clients again; one that follows it hears of the call all the same.
+  // A process that is shutting down cannot accept clients again, unless a younger one will hear of the
+  // command.
   const bool late = !drained && phase_ >= Phase::ending && !followed(now);
   if (late) return {{false, "ending: it will not take clients again"}, {}};
   drained_ = {drained, std::max(now, drained_.at + 1)};
@@ -71,7 +73,7 @@
   return change;
 }
 
-bool Operation::other(Nanos now, bool youngerServing) const {
+bool Operation::hasPeer(Nanos now, bool youngerServing) const {
   return std::any_of(peers_.begin(), peers_.end(), [&](const auto& entry) {
     const auto& [process, peer] = entry;
     if (peer.phase == Phase::ended || now - peer.heardAt > kAlive) return false;
--- a/src/operation/operation.hpp
+++ b/src/operation/operation.hpp
@@ -1,5 +1,6 @@
-// The state of one aggregator in day-to-day operation: does it take clients, which leafs are out, which other
-// processes of it are there. Pure: calls, records of other processes and `now` in, decisions out.
+// Operational state of one aggregator process: whether it accepts clients, which leafs are out of service,
+// and which other processes of the same aggregator are alive (during an upgrade). Commands, records of other
+// processes and the time go in, decisions come out; it does no input or output.
 #pragma once
 
 #include <map>
@@ -10,66 +11,74 @@
 
 namespace topazweir::operation {
 
-// What has to be carried out after a call or a record.
+// What the caller has to carry out after a command or a record.
 struct Change {
-  std::vector<std::string> leafs;            // taken out, or back in service
-  bool clients = false;                      // takesClients() or sendsAway() may be another than before
-  std::vector<ColdSends::Send> coldSends{};  // that another process has made, for the module's ceilings
+  std::vector<std::string> leafs;  // those taken out of service or put back
+  bool clients = false;            // takesClients() or drained() may have changed
+  std::vector<ColdSends::Send>
+      coldSends{};  // new sends by another process, for the module's slow-start limits
 };
 
+// The reply to a command and its effect.
 struct Answered {
   Reply reply;
   Change change;
 };
 
-// What a process waits for before it takes clients.
+// Readiness conditions of a starting process.
 struct Prepared {
-  bool list = false;       // of leafs: discovery's, or the one that the other process last had
-  bool connected = false;  // to the leafs, as far as they can be reached; only where it follows another one
+  bool list = false;       // a list of leafs is known, from discovery or inherited from the other process
+  bool connected = false;  // connected to all reachable leafs; needed only if another process is alive
 };
 
 class Operation {
  public:
+  // `coldFor`: how long a leaf is cold after its start.
   Operation(std::string aggregator, ProcessId self, Nanos coldFor);
 
-  // `listed`: discovery has named the leaf. Calls are idempotent.
+  // Executes a command. `listed`: discovery has announced the leaf. Commands are idempotent.
   Answered call(const Call& call, bool listed, Nanos now);
-  // What another process has written. Foreign and own records change nothing.
+  // Merges a record written by another process. Records of other aggregators and its own are ignored.
   Change heard(const Record& record, Nanos now);
+  // A send to a leaf, recorded while the leaf is cold.
   void sent(const std::string& instance, Nanos startedAt, Nanos now) { cold_.note(instance, startedAt, now); }
 
-  // May a process that is starting take clients now? When it is prepared, and in any case after
-  // kLongestStart: what discovery has to say counts as told from its first moment, whatever an older list
-  // says, but a silent discovery must not keep it from serving. Only one that follows another waits for
-  // connections.
+  // Whether a starting process may accept clients now: once it is prepared, and in any case after
+  // kLongestStart, since an unresponsive discovery must not keep it from serving. It prefers to wait for
+  // discovery because the announcements of discovery count as known from its first moment, even if an older
+  // list differs. It waits for connections only if another process is alive.
   bool mayServe(const Prepared& prepared, Nanos now) const;
-  void serves();
-  void ends() { phase_ = Phase::ending; }
+  void serves();                           // accepts clients from now on
+  void ends() { phase_ = Phase::ending; }  // graceful shutdown has begun
   void ended() { phase_ = Phase::ended; }
 
   Phase phase() const { return phase_; }
   const Holds& holds() const { return holds_; }
   bool drained() const { return drained_.on; }
-  // What /up says: the aggregator, not just this process, takes clients.
+  // The answer of /up: whether the aggregator, not just this process, accepts clients.
   bool takesClients(Nanos now) const;
-  // Another process of this aggregator, younger and alive, takes clients: this one need not.
-  bool followed(Nanos now) const { return other(now, true); }
-  // Another process of this aggregator is alive: limits hold for both together.
-  bool accompanied(Nanos now) const { return other(now, false); }
+  // Whether a younger process of this aggregator is alive and serving, so that this one need not accept
+  // clients.
+  bool followed(Nanos now) const { return hasPeer(now, true); }
+  // Whether another process of this aggregator is alive; limits then apply to both together.
+  bool accompanied(Nanos now) const { return hasPeer(now, false); }
+  // This process's record for the others. `list`: of leafs, in discovery's format.
   Record record(std::string list, Nanos now);
 
-  static constexpr Nanos kAlive = 3'000'000'000;         // since the last record: longer, and it has died
-  static constexpr Nanos kLongestStart = 3'000'000'000;  // half of what the operators wait for the yes
+  // A process counts as dead once its last record is older.
+  static constexpr Nanos kAlive = 3'000'000'000;
+  // Accepts clients at the latest this long after the start: half of how long operators wait for readiness.
+  static constexpr Nanos kLongestStart = 3'000'000'000;
 
  private:
   struct Peer {
     Phase phase = Phase::starting;
     Nanos heardAt = 0;
   };
-  bool other(Nanos now, bool youngerServing) const;
+  bool hasPeer(Nanos now, bool youngerServing) const;
   Reply ready() const;
-  Answered move(const Call& call, bool listed, Nanos now);
-  Answered turn(bool drained, Nanos now);
+  Answered setServer(const Call& call, bool listed, Nanos now);
+  Answered setDrained(bool drained, Nanos now);
 
   std::string aggregator_;
   ProcessId self_;
@@ -77,7 +86,7 @@
   Holds holds_;
   Switch drained_;
   ColdSends cold_;
-  std::map<ProcessId, Peer> peers_;  // bounded: those that have died are forgotten
+  std::map<ProcessId, Peer> peers_;  // bounded, as dead processes are removed
 };
 
 }  // namespace topazweir::operation
--- a/src/operation/record.hpp
+++ b/src/operation/record.hpp
@@ -1,5 +1,5 @@
-// What one process of an aggregator tells the next one, and the one before it. A value; where it is kept and
-// how it is written stands in src/ops.
+// The record that the processes of one aggregator exchange during an upgrade. src/ops defines its format and
+// where it is stored.
 #pragma once
 
 #include <string>
@@ -9,37 +9,40 @@
 
 namespace topazweir::operation {
 
-// On or off, by the later of two calls.
+// A switch set by commands; the latest command wins.
 struct Switch {
   bool on = false;
-  Nanos at = 0;  // of the call; 0: never called
+  Nanos at = 0;  // time of the command, Unix time; 0: never set
   bool operator==(const Switch&) const = default;
 };
 
-// A process: the one that started later is the younger.
+// Identifies a process. They are ordered by start time; the later one is the younger.
 struct ProcessId {
   Nanos startedAt = 0;  // Unix time
   std::int64_t pid = 0;
   auto operator<=>(const ProcessId&) const = default;
 };
 
+// Life cycle of a process.
 enum class Phase {
-  starting,  // takes no clients yet
-  serving,   // takes clients, or sends them away when told to
-  ending,    // was told to end: finishes what it has taken
+  starting,  // does not accept clients yet
+  serving,   // accepts clients, unless drained
+  ending,    // graceful shutdown: finishes the requests it has taken
   ended      // has finished
 };
+// Names in the stored record, indexed by Phase.
 inline constexpr const char* kPhaseNames[] = {"starting", "serving", "ending", "ended"};
 
+// The state that one process publishes.
 struct Record {
-  std::string aggregator;  // its name: a record of another one is foreign
+  std::string aggregator;  // name of the aggregator
   ProcessId process;
   Phase phase = Phase::starting;
-  Nanos writtenAt = 0;
+  Nanos writtenAt = 0;  // Unix time
   Holds::ByInstance holds;
   Switch drained;
   ColdSends::ByInstance coldSends;
-  std::string list;  // of leafs, in discovery's form; empty: none
+  std::string list;  // of leafs, in discovery's format; empty: none
 };
 
 }  // namespace topazweir::operation
