--- a/src/ops/line_server.cpp
+++ b/src/ops/line_server.cpp
@@ -10,8 +10,8 @@
 namespace topazweir::ops {
 
 namespace {
-constexpr Nanos kSweep = 50'000'000;
-constexpr int kBacklog = 512;
+constexpr Nanos kSweepIntervalNs = 50'000'000;
+constexpr int kBacklog = 512;  // connections queued by the kernel
 }  // namespace
 
 LineServer::LineServer(net::Loop& loop, broker::Log& log, const Poco::Net::SocketAddress& address,
@@ -21,7 +21,7 @@
       places_(std::max<std::size_t>(1, places)),
       answer_(std::move(answer)),
       listener_(loop, address, kBacklog, [this] { accept(); }) {
-  sweepTimer_ = loop_.after(kSweep, [this] { sweep(); });
+  sweepTimer_ = loop_.after(kSweepIntervalNs, [this] { sweep(); });
 }
 
 LineServer::~LineServer() {
@@ -31,7 +31,8 @@
 
 void LineServer::accept() {
   while (true) {
-    // Full, and nobody may be sent away yet: the machine's queue waits for the next sweep.
+    // At the limit, and no caller may be dropped yet: connections wait in the kernel's queue until the next
+    // sweep.
     if (inUse() >= places_ && !makeRoom()) return listener_.watch(false);
     std::shared_ptr<net::Connection> connection;
     try {
@@ -44,11 +45,11 @@
     }
     auto* key = connection.get();
     callers_[key] = Caller{std::move(connection), loop_.now()};
-    if (key->readMore()) onData(*key);  // the line mostly comes with the connection
+    if (key->readMore()) onData(*key);  // the line usually arrives with the connection
   }
 }
 
-// What holds a descriptor: callers, and those that have their answer and have not closed.
+// Connections that hold a descriptor: unanswered callers, and answered ones not yet closed.
 std::size_t LineServer::inUse() {
   std::erase_if(closing_, [](const auto& weak) {
     const auto connection = weak.lock();
@@ -57,8 +58,8 @@
   return callers_.size() + closing_.size();
 }
 
-// Guards callers against those who send nothing or half a line, or never close: who has the answer goes
-// first, then who has been there for longest.
+// Protects callers against others that send nothing or half a line, or never close. Closes an answered
+// connection first, else drops the oldest caller that has exceeded kLineTimeoutUnderLoadNs.
 bool LineServer::makeRoom() {
   for (const auto& weak : closing_) {
     const auto connection = weak.lock();
@@ -68,7 +69,8 @@
   }
   Caller* oldest = nullptr;
   for (auto& [key, caller] : callers_)
-    if (loop_.now() - caller.since >= kHurry && (!oldest || caller.since < oldest->since)) oldest = &caller;
+    if (loop_.now() - caller.since >= kLineTimeoutUnderLoadNs && (!oldest || caller.since < oldest->since))
+      oldest = &caller;
   if (!oldest) return false;
   refuse(*oldest, "the line did not come in, and others wait");
   return true;
@@ -88,7 +90,7 @@
   callers_.erase(connection.get());
   ++counters_.lines;
   connection->write(answer_(line));
-  connection->input().clear();  // one line a connection: what follows it is not read
+  connection->input().clear();  // one line per connection: the rest is not read
   connection->closeGently();
   closing_.push_back(connection);
 }
@@ -107,10 +109,10 @@
 }
 
 void LineServer::sweep() {
-  sweepTimer_ = loop_.after(kSweep, [this] { sweep(); });
+  sweepTimer_ = loop_.after(kSweepIntervalNs, [this] { sweep(); });
   std::vector<net::Connection*> late;
   for (const auto& [key, caller] : callers_)
-    if (loop_.now() - caller.since > kLineTime) late.push_back(key);
+    if (loop_.now() - caller.since > kLineTimeoutNs) late.push_back(key);
   for (auto* key : late) refuse(callers_.at(key), "the line did not come in");
   listener_.watch(true);
 }
--- a/src/ops/line_server.hpp
+++ b/src/ops/line_server.hpp
@@ -1,5 +1,5 @@
-// The operators' address: a connection carries one line and gets one line back. However callers behave, each
-// whole line is answered in the turn of the loop that reads it.
+// Server for operator commands: each connection carries one line and gets one line back. Every complete line
+// is answered in the event-loop iteration that reads it, however other callers behave.
 #pragma once
 
 #include <functional>
@@ -14,16 +14,19 @@
 
 namespace topazweir::ops {
 
+// Counters of a line server.
 struct LineCounters {
-  std::uint64_t lines = 0;    // whole calls, answered
-  std::uint64_t dropped = 0;  // callers that sent none in time, or too much
+  std::uint64_t lines = 0;    // complete lines, answered
+  std::uint64_t dropped = 0;  // callers dropped without a complete line: too late, too long or disconnected
 };
 
 class LineServer : private net::Connection::Owner {
  public:
-  using Answer = std::function<std::string(std::string_view line)>;  // the line without its end; with one
+  // Gets the line without its line end; returns the reply with one.
+  using Answer = std::function<std::string(std::string_view line)>;
 
-  // Throws Poco::Exception where the address can't be had. `places`: connections at once, at least one.
+  // Throws Poco::Exception if it cannot listen on the address. `places`: limit on concurrent connections, at
+  // least 1.
   LineServer(net::Loop& loop, broker::Log& log, const Poco::Net::SocketAddress& address, std::size_t places,
              Answer answer);
   ~LineServer() override;
@@ -33,8 +36,10 @@
   const LineCounters& counters() const { return counters_; }
   Poco::Net::SocketAddress address() const { return listener_.address(); }
 
-  // A caller has this long for its line. One that has had kHurry gives way when others wait for a place.
-  static constexpr Nanos kLineTime = 5'000'000'000, kHurry = 100'000'000;
+  // Time for a caller to send its line.
+  static constexpr Nanos kLineTimeoutNs = 5'000'000'000;
+  // A caller that has taken longer is dropped when others wait for a connection.
+  static constexpr Nanos kLineTimeoutUnderLoadNs = 100'000'000;
 
  private:
   struct Caller {
@@ -57,7 +62,7 @@
   net::Listener listener_;
   net::Loop::TimerId sweepTimer_;
   std::map<net::Connection*, Caller> callers_;
-  std::vector<std::weak_ptr<net::Connection>> closing_;  // answered, and not yet closed by their callers
+  std::vector<std::weak_ptr<net::Connection>> closing_;  // answered but not yet closed by their callers
   LineCounters counters_;
 };
 
--- a/src/ops/record_text.cpp
+++ b/src/ops/record_text.cpp
@@ -18,10 +18,10 @@
 using simdjson::dom::element;
 using simdjson::dom::object;
 
-constexpr std::string_view kForm = "topazweir-state";
+constexpr std::string_view kFormat = "topazweir-state";
 constexpr int kVersion = 1;
 
-// Numbers and texts of an object; what is missing or of another kind fails the whole record.
+// Reads the fields of a JSON object. A field that is missing or of the wrong type makes the record invalid.
 class Fields {
  public:
   explicit Fields(const element& from) : good_(from.get(root_) == simdjson::SUCCESS) {}
@@ -95,22 +95,26 @@
       jsonText(r.aggregator), r.process.startedAt, r.process.pid,
       operation::kPhaseNames[static_cast<std::size_t>(r.phase)], r.writtenAt, r.drained.on, r.drained.at);
   const auto next = [&body, first = true]() mutable { body += std::exchange(first, false) ? "" : ","; };
-  for (auto comma = next; const auto& [id, hold] : r.holds)
-    comma(),
-        body += fmt::format(R"({{"id":{},"outAt":{},"backAt":{}}})", jsonText(id), hold.outAt, hold.backAt);
+  for (auto comma = next; const auto& [id, hold] : r.holds) {
+    comma();
+    body += fmt::format(R"({{"id":{},"outAt":{},"backAt":{}}})", jsonText(id), hold.outAt, hold.backAt);
+  }
   body += R"(],"coldSends":[)";
-  for (auto comma = next; const auto& [id, sends] : r.coldSends)
-    comma(), body += fmt::format(R"({{"id":{},"at":[{}]}})", jsonText(id), fmt::join(sends, ","));
+  for (auto comma = next; const auto& [id, sends] : r.coldSends) {
+    comma();
+    body += fmt::format(R"({{"id":{},"at":[{}]}})", jsonText(id), fmt::join(sends, ","));
+  }
   body += R"(],"list":)" + jsonText(r.list) + "}";
-  return fmt::format("{} {} {} {:016x}\n", kForm, kVersion, body.size(),
+  return fmt::format("{} {} {} {:016x}\n", kFormat, kVersion, body.size(),
                      XXH3_64bits(body.data(), body.size())) +
          body;
 }
 
 std::variant<Record, std::string> readRecord(std::string_view text) {
   const auto end = text.find('\n');
-  if (end == std::string_view::npos || end > 100 || !text.starts_with(kForm)) return "of another program";
-  std::string_view head = text.substr(0, end), body = text.substr(end + 1);
+  if (end == std::string_view::npos || end > 100 || !text.starts_with(kFormat)) return "of another program";
+  std::string_view head = text.substr(0, end);
+  const std::string_view body = text.substr(end + 1);
   const auto word = [&head] {
     head.remove_prefix(std::min(head.size(), head.find(' ') + 1));
     return head.substr(0, head.find(' '));
@@ -120,12 +124,14 @@
     const auto [at, error] = std::from_chars(digits.data(), digits.data() + digits.size(), out, base);
     return error == std::errc{} && at == digits.data() + digits.size() ? std::optional(out) : std::nullopt;
   };
-  const auto version = number(word(), 10), size = number(word(), 10), sum = number(word(), 16);
-  if (!version || !size || !sum) return "of another program";
-  if (*version != kVersion) return "of version " + std::to_string(*version) + ", which is not known here";
+  const auto version = number(word(), 10);
+  const auto size = number(word(), 10);
+  const auto checksum = number(word(), 16);
+  if (!version || !size || !checksum) return "of another program";
+  if (*version != kVersion) return "of version " + std::to_string(*version) + ", which is not supported";
   if (*size != body.size())
     return "torn: " + std::to_string(body.size()) + " of " + std::to_string(*size) + " bytes";
-  if (*sum != XXH3_64bits(body.data(), body.size())) return "altered: the checksum differs";
+  if (*checksum != XXH3_64bits(body.data(), body.size())) return "altered: the checksum differs";
   return readBody(body);
 }
 
--- a/src/ops/record_text.hpp
+++ b/src/ops/record_text.hpp
@@ -1,5 +1,5 @@
-// A record as text: one line that says what follows (form, version, length, checksum), then a JSON object.
-// Pure.
+// Serialises a record as text: a header line with format, version, length and checksum, then a JSON object.
+// Pure functions.
 #pragma once
 
 #include <string>
@@ -10,10 +10,11 @@
 
 namespace topazweir::ops {
 
-inline constexpr std::size_t kMostRecord = 4 * 1024 * 1024;  // a longer one is not read
+inline constexpr std::size_t kMostRecord = 4 * 1024 * 1024;  // bytes; a longer record is not read
 
 std::string writeRecord(const operation::Record& record);
-// Or why it can't be used: torn, altered, of another program or of a version that is not known here.
+// Parses a record. Returns an error message if it is truncated or corrupted, or was written by another
+// program or in an unknown version.
 std::variant<operation::Record, std::string> readRecord(std::string_view text);
 
 }  // namespace topazweir::ops
--- a/src/ops/side.cpp
+++ b/src/ops/side.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 constexpr Nanos kMs = 1'000'000;
-constexpr Nanos kLook = 100 * kMs;    // how often the others' records are looked at
-constexpr Nanos kWrite = 1000 * kMs;  // how often one's own is written though nothing has changed
-constexpr Nanos kPrepare = 20 * kMs;  // how often it is asked whether clients may be taken
+constexpr Nanos kReadIntervalNs = 100 * kMs;    // between reads of the other processes' records
+constexpr Nanos kWriteIntervalNs = 1000 * kMs;  // between writes of an unchanged record
+constexpr Nanos kPrepareIntervalNs = 20 * kMs;  // between readiness checks while starting
 }  // namespace
 
 Side::Side(net::Loop& loop, broker::Log& log, Options options)
@@ -29,7 +29,7 @@
 }
 
 Side::~Side() {
-  loop_.cancel(lookTimer_);
+  loop_.cancel(readTimer_);
   loop_.cancel(prepareTimer_);
 }
 
@@ -42,13 +42,13 @@
                     [this](std::string_view line) { return answer(line); });
   host_->share(follows());
   prepare();
-  if (folder_) look();
+  if (folder_) readRecords();
 }
 
 void Side::prepare() {
   const auto prepared = host_->prepare(follows());
   if (!operation_.mayServe(prepared, loop_.now())) {
-    prepareTimer_ = loop_.after(kPrepare, [this] { prepare(); });
+    prepareTimer_ = loop_.after(kPrepareIntervalNs, [this] { prepare(); });
     return;
   }
   log_.line("operation.serving", std::string("list=") + (prepared.list ? "told" : "known") +
@@ -74,7 +74,8 @@
   auto text = answered.reply.text();
   log_.line("ops.call", std::string(line) + " -> " + text.substr(0, text.size() - 1));
   carryOut(answered.change);
-  if (!answered.change.leafs.empty() || answered.change.clients) write();  // before its yes is read
+  if (!answered.change.leafs.empty() || answered.change.clients)
+    write();  // persisted before the caller reads the ACK
   return text;
 }
 
@@ -89,12 +90,12 @@
   if (change.clients) host_->clientsChanged();
 }
 
-void Side::look() {
-  lookTimer_ = loop_.after(kLook, [this] { look(); });
+void Side::readRecords() {
+  readTimer_ = loop_.after(kReadIntervalNs, [this] { readRecords(); });
   folder_->read([this](const auto& record) { carryOut(operation_.heard(record, loop_.now())); });
   const bool accompanied = follows();
   host_->share(accompanied);
-  if (accompanied || loop_.now() - writtenAt_ >= kWrite) write();
+  if (accompanied || loop_.now() - writtenAt_ >= kWriteIntervalNs) write();
   if (!accompanied) folder_->tidy(loop_.now());
 }
 
--- a/src/ops/state_folder.cpp
+++ b/src/ops/state_folder.cpp
@@ -17,9 +17,11 @@
 
 namespace {
 
-constexpr std::string_view kPrefix = "topazweir.", kSuffix = ".state", kUnfinished = ".new";
+constexpr std::string_view kPrefix = "topazweir.";
+constexpr std::string_view kSuffix = ".state";
+constexpr std::string_view kUnfinished = ".new";
 
-std::vector<std::string> namesIn(const std::string& folder) {
+std::vector<std::string> recordFilesIn(const std::string& folder) {
   const std::unique_ptr<DIR, int (*)(DIR*)> open(::opendir(folder.c_str()), &::closedir);
   std::vector<std::string> out;
   while (const auto* entry = open ? ::readdir(open.get()) : nullptr) {
@@ -30,7 +32,7 @@
   return out;
 }
 
-std::string contents(const std::string& path, std::size_t size) {
+std::string readFile(const std::string& path, std::size_t size) {
   const std::unique_ptr<std::FILE, int (*)(std::FILE*)> file(std::fopen(path.c_str(), "rb"), &std::fclose);
   std::string out(file && size <= kMostRecord ? size : 0, '\0');
   if (file) out.resize(std::fread(out.data(), 1, out.size(), file.get()));
@@ -47,7 +49,7 @@
 
 void StateFolder::read(const std::function<void(const operation::Record&)>& heard) {
   std::map<std::string, Seen> now;
-  for (const auto& name : namesIn(folder_)) {
+  for (const auto& name : recordFilesIn(folder_)) {
     struct stat file {};
     if (name.starts_with(own_) || ::stat(path(name).c_str(), &file) != 0 || !S_ISREG(file.st_mode)) continue;
     Seen seen{file.st_ino, file.st_mtim.tv_sec * 1'000'000'000 + file.st_mtim.tv_nsec, file.st_size, 0};
@@ -58,11 +60,11 @@
         continue;
       }
     }
-    if (name.ends_with(kUnfinished)) {  // being written, or its writer died over it: tidied away in time
+    if (name.ends_with(kUnfinished)) {  // being written, or left by a crashed writer: tidy() deletes it later
       now.emplace(name, seen);
       continue;
     }
-    const auto read = readRecord(contents(path(name), static_cast<std::size_t>(file.st_size)));
+    const auto read = readRecord(readFile(path(name), static_cast<std::size_t>(file.st_size)));
     if (const auto* why = std::get_if<std::string>(&read)) {
       log_.line("state.unusable", name + " " + *why);
       seen.writtenAt = 0;
@@ -77,7 +79,8 @@
 }
 
 void StateFolder::write(const operation::Record& record) {
-  const auto text = writeRecord(record), unfinished = path(own_ + std::string(kUnfinished));
+  const auto text = writeRecord(record);
+  const auto unfinished = path(own_ + std::string(kUnfinished));
   const std::unique_ptr<std::FILE, int (*)(std::FILE*)> file(std::fopen(unfinished.c_str(), "wb"),
                                                              &std::fclose);
   const bool whole = file && std::fwrite(text.data(), 1, text.size(), file.get()) == text.size() &&
--- a/src/ops/state_folder.hpp
+++ b/src/ops/state_folder.hpp
@@ -1,5 +1,5 @@
-// The folder in which the processes of one aggregator leave their records for each other: a file each,
-// replaced by rename, so that a reader sees an old record or the new one.
+// The folder through which the processes of one aggregator exchange their records. Each process has one file,
+// which it replaces atomically by rename, so a reader sees either the old record or the new one.
 #pragma once
 
 #include <sys/types.h>
@@ -15,31 +15,34 @@
 
 class StateFolder {
  public:
-  // `folder`: private to the aggregator, such as $TMPDIR.
+  // `folder`: accessible only to this aggregator, such as $TMPDIR.
   StateFolder(broker::Log& log, std::string folder, const operation::ProcessId& self);
 
-  // The records of others that are new or have changed since the last call. What can't be read is left aside,
-  // with a line in the log; it is looked at again once it has changed.
+  // Calls `heard` with each record of another process that is new or has changed since the last call. An
+  // unusable file is logged and skipped until it changes.
   void read(const std::function<void(const operation::Record&)>& heard);
+  // Writes this process's own record; a failure is logged.
   void write(const operation::Record& record);
-  // Takes away what processes have left that wrote nothing for long: the folder must not grow by upgrades.
+  // Deletes files not written for longer than kKept, so that the folder does not grow with each upgrade.
   void tidy(Nanos now);
 
   static constexpr Nanos kKept = 60'000'000'000;
-  static constexpr std::size_t kMostFiles = 64;  // looked at; more is some other program's doing
+  static constexpr std::size_t kMostFiles = 64;  // files read; no more are expected from this program
 
  private:
+  // A file as last read, to detect changes.
   struct Seen {
     ino_t inode = 0;
     Nanos changedAt = 0;
     off_t size = 0;
-    Nanos writtenAt = 0;  // as its record says; 0: unusable
+    Nanos writtenAt = 0;  // according to its record; 0: unusable
     bool operator==(const Seen&) const = default;
   };
   std::string path(const std::string& name) const { return folder_ + "/" + name; }
 
   broker::Log& log_;
-  std::string folder_, own_;
+  std::string folder_;
+  std::string own_;  // name of this process's file
   std::map<std::string, Seen> seen_;
 };
 
