--- a/tests/calls_test.cpp
+++ b/tests/calls_test.cpp
@@ -1,5 +1,5 @@
-// What decides about calls: statuses, time-outs, fields, routes, the course of a call, and what holds peers
-// back.
+// Tests the pure parts of call handling: status mapping, time-outs, header fields, routing, the state machine
+// of a call, buffers, connection choice, flood protection and health messages.
 #include <algorithm>
 #include <random>
 #include <set>
@@ -18,7 +18,8 @@
 namespace {
 
 using namespace calls;
-constexpr Nanos kMs = 1'000'000, kSecond = 1000 * kMs;
+constexpr Nanos kMs = 1'000'000;
+constexpr Nanos kSecond = 1000 * kMs;
 
 void statuses() {
   for (int i = 0; i < kCodes; ++i) {
@@ -31,14 +32,14 @@
         meaningOf(Code::unavailable).counted == Class::refused);
   CHECK(codeOfHttp(404) == Code::unimplemented && codeOfHttp(503) == Code::unavailable &&
         codeOfHttp(418) == Code::unknown);
-  // Only what is known not to have run may be said so: RFC 9113 section 8.7.
-  const std::set<Ending> never = {Ending::aboveGoaway, Ending::lostBefore, Ending::noStream};
+  // Only these endings prove that the call did not run: RFC 9113 section 8.7.
+  const std::set<Ending> notRun = {Ending::aboveGoaway, Ending::lostBefore, Ending::noStream};
   for (int e = 0; e <= static_cast<int>(Ending::tooLarge); ++e)
     for (std::uint32_t http2 = 0; http2 < 20; ++http2) {
       const Ended ended{static_cast<Ending>(e), http2, Code::unavailable, 503};
       const auto verdict = verdictOf(ended);
       const bool refusedStream = ended.ending == Ending::resetByPeer && http2 == 7;
-      CHECK(verdict.ran == !(never.count(ended.ending) > 0 || refusedStream));
+      CHECK(verdict.ran == !(notRun.count(ended.ending) > 0 || refusedStream));
       const bool safe = verdict.outcome == Outcome::rejected || verdict.outcome == Outcome::connectFailed ||
                         verdict.outcome == Outcome::notSent;
       CHECK(safe == !verdict.ran);
@@ -125,9 +126,9 @@
         pushback("40").wait == 40 * kMs);
 }
 
-// The trie against the plainest thing that could work: all matches, the best of them by rank.
+// Compares the trie with a reference implementation: a scan of all routes for the most specific match.
 void routes() {
-  const auto plain = [](const std::vector<Match>& matches, const Fields& head) {
+  const auto reference = [](const std::vector<Match>& matches, const Fields& head) {
     std::optional<std::size_t> best;
     const auto path = *readPath(*find(head, ":path"));
     const auto score = [](const Match& m) {
@@ -176,7 +177,7 @@
       head.push_back({":authority", pick({"one", "two", "three"})});
       if (random() % 2 == 0) head.push_back({"k", pick({"1", "2"})});
       if (random() % 2 == 0) head.push_back({"p", "x"});
-      CHECK(std::get<Routes>(table).find(head) == plain(matches, head));
+      CHECK(std::get<Routes>(table).find(head) == reference(matches, head));
       ++compared;
     }
   }
@@ -185,15 +186,15 @@
   a.kind = b.kind = Match::Kind::service;
   a.service = b.service = "x.Y";
   a.exact = {{"k", "1"}};
-  b.exact = {{"k", "2"}};  // never both
+  b.exact = {{"k", "2"}};  // no call matches both
   CHECK(std::holds_alternative<Routes>(Routes::compile({a, b})));
-  b.exact = {{"j", "1"}};  // a call with both would be anybody's guess
+  b.exact = {{"j", "1"}};  // a call with both fields would be ambiguous
   CHECK(std::get<std::string>(Routes::compile({a, b})).find("are equal") != std::string::npos);
 }
 
-// Random events: whatever comes in whatever order, a call is committed once, ends once, and tells what
-// happened.
-void courseOfACall() {
+// Random events in random order: a call is committed at most once, ends once, and reports the outcome
+// correctly.
+void callStateMachine() {
   std::mt19937 random(5);
   int committed = 0, passed = 0;
   for (int round = 0; round < 20'000; ++round) {
@@ -222,7 +223,10 @@
             break;
           }
           case 1:
-            if (started < 4 && !owner) call.started(started), out.push_back(started++);
+            if (started < 4 && !owner) {
+              call.started(started);
+              out.push_back(started++);
+            }
             break;
           case 2:  // begins to answer
             if (!out.empty()) {
@@ -249,7 +253,7 @@
             const auto next = call.ended(attempt, ended, trailers, kSecond);
             if (owner && owner != attempt) CHECK(!next.final);
             if (owner == attempt) CHECK(next.final);
-            // What may have run is never told to the module as what has not.
+            // An attempt that may have run is never reported to the module as one that has not.
             if (verdictOf(ended).ran)
               CHECK(next.outcome != Outcome::rejected && next.outcome != Outcome::notSent &&
                     next.outcome != Outcome::connectFailed);
@@ -264,7 +268,7 @@
             }
             break;
           }
-          case 4:  // the one it belongs to takes of the request
+          case 4:  // the committed attempt takes bytes of the request
             if (owner) {
               taken = std::max(taken, call.request().end() -
                                           std::min<std::uint64_t>(call.request().end(), random() % 300));
@@ -273,7 +277,10 @@
             }
             break;
           default:
-            if (!out.empty() && !owner) call.dropped(out.back()), out.pop_back();
+            if (!out.empty() && !owner) {
+              call.dropped(out.back());
+              out.pop_back();
+            }
         }
         CHECK(call.committed() == owner && pressure.held == call.request().kept());
       }
@@ -291,10 +298,10 @@
   Pressure tight;
   tight.most = 1000;
   Call first({}, tight), second({}, tight);
-  first.started(0), second.started(0);
+  first.started(0);
+  second.started(0);
   CHECK(first.requestData(std::string(999, 'x')) && !first.outgrown());
-  CHECK(!second.requestData("xx") &&
-        second.outgrown() == 0);  // there is no room to keep it: it goes on as it is
+  CHECK(!second.requestData("xx") && second.outgrown() == 0);  // no buffer left for a replay: it is committed
 
   Pressure pressure;
   Call refused({}, pressure);
@@ -306,11 +313,12 @@
   const Fields later = {{"grpc-status", "14"}, {"grpc-retry-pushback-ms", "30"}};
   CHECK(waits.ended(0, busy, later, kSecond).wait == 30 * kMs);
   waits.started(1);
-  CHECK(waits.ended(1, busy, later, 20 * kMs).final);  // no time for that: it is passed on, with the wait
+  // Too little time for the retry: the status is passed on with its pushback.
+  CHECK(waits.ended(1, busy, later, 20 * kMs).final);
   CHECK(find(waits.finish(Class::refused, false, 0).trailers, "grpc-retry-pushback-ms") == "30");
 }
 
-void bodiesAndMessages() {
+void buffersAndMessages() {
   Pressure pressure;
   pressure.most = 100;
   Body body(pressure);
@@ -346,7 +354,7 @@
   CHECK(!Meter().take(stream, 69'999));
 }
 
-void linksAndShards() {
+void connectionChoiceAndShards() {
   using Kind = LinkChoice::Kind;
   CHECK(chooseLink({}, 1).kind == Kind::open && chooseLink({}, 0).kind == Kind::none);
   const LinkState full{true, false, 100, 100}, leaving{true, true, 1, 100}, coming{false, false, 3, 100},
@@ -355,23 +363,23 @@
   CHECK(chooseLink({leaving}, 2).kind == Kind::open);
   CHECK(chooseLink({full, coming, busy, leaving}, 9).at == 2 && chooseLink({full, coming}, 9).at == 1);
   CHECK(hashKey("") == 0xcbf29ce484222325ULL &&
-        hashKey("a") == 0xaf63dc4c8601ec8cULL);  // the published values
+        hashKey("a") == 0xaf63dc4c8601ec8cULL);  // published FNV-1a test values
   std::vector<int> counts(7);
   for (int i = 0; i < 7000; ++i)
     ++counts[static_cast<std::size_t>(shardOf("branch-" + std::to_string(i), 7))];
   for (const int c : counts) CHECK(c > 850 && c < 1150);
 }
 
-void floodsAreFound() {
+void floodsAreDetected() {
   using Cost = http2::Guard::Cost;
   http2::Guard guard;
   Nanos now = kSecond;
   for (int i = 0; i < 3000; ++i)
-    CHECK(guard.allow(Cost::reset, now += 20 * kMs));  // a busy client, for a minute
+    CHECK(guard.allow(Cost::reset, now += 20 * kMs));  // a busy client for a minute is no flood
   int allowed = 0;
   while (guard.allow(Cost::reset, now += 10'000)) ++allowed;
   CHECK(allowed > 300 && allowed < 500);
-  CHECK(guard.allow(Cost::ping, now));  // each on its own
+  CHECK(guard.allow(Cost::ping, now));  // each kind has its own limit
   CHECK(guard.allow(Cost::reset, now + 10 * kSecond));
 }
 
@@ -407,9 +415,9 @@
   timeouts();
   fields();
   routes();
-  courseOfACall();
-  bodiesAndMessages();
-  linksAndShards();
-  floodsAreFound();
+  callStateMachine();
+  buffersAndMessages();
+  connectionChoiceAndShards();
+  floodsAreDetected();
   healthMessages();
 }
--- a/tests/check.hpp
+++ b/tests/check.hpp
@@ -1,9 +1,10 @@
-// Plain asserts that hold in Release too.
+// Assertions that are also active in Release builds.
 #pragma once
 
 #include <cstdio>
 #include <cstdlib>
 
+// Prints the failed condition and ends the process with exit code 1.
 #define CHECK(condition)                                                           \
   do {                                                                             \
     if (!(condition)) {                                                            \
--- a/tests/endings_test.cpp
+++ b/tests/endings_test.cpp
@@ -1,6 +1,7 @@
-// The core on a virtual clock under random orders of all that can end something, from fixed seeds: answers
-// and failures of every kind, lists, clients that leave, silence, the end of the process. One checker judges
-// what was done. docs/design/ends.md.
+// Tests the broker core on a virtual clock under randomised orders, from fixed seeds, of everything that can
+// end a request or an attempt: answers and failures of every kind, server lists, clients that disconnect,
+// unresponsive servers, the end of the process. A checker verifies the invariants on every step. See
+// docs/design/ends.md.
 #include <algorithm>
 #include <map>
 #include <random>
@@ -13,11 +14,14 @@
 namespace {
 
 constexpr Nanos kMs = 1'000'000;
-constexpr int kServers = 6, kShards = 4;
+constexpr int kServers = 6;
+constexpr int kShards = 4;
 
-// Judges starts, ends and final answers, whatever made them; the first thing that is wrong is kept in words.
+// Checks the started attempts and the final answers against the invariants, independently of the core, and
+// keeps a message for the first violation.
 struct Checker {
-  struct Out {
+  // One attempt.
+  struct TrackedAttempt {
     ServerId server = 0;
     bool cancelled = false;
     std::optional<Outcome> end;
@@ -27,80 +31,97 @@
              (*end != Outcome::rejected && *end != Outcome::connectFailed && *end != Outcome::notSent);
     }
   };
-  struct Asked {
+  // One request.
+  struct TrackedRequest {
     Effect effect = Effect::safe;
-    Nanos window = 0, due = 0;
-    bool over = false;  // answered, or its client has left
-    std::map<int, std::vector<Out>> parts;
+    Nanos window = 0;  // keyedWindow of its class
+    Nanos due = 0;
+    bool over = false;  // answered, or its client has disconnected
+    std::map<int, std::vector<TrackedAttempt>> parts;
     bool mayHaveRun() const {
-      for (const auto& [part, outs] : parts)
-        for (const auto& out : outs)
-          if (out.mayHaveRun()) return true;
+      for (const auto& [part, attempts] : parts)
+        for (const auto& attempt : attempts)
+          if (attempt.mayHaveRun()) return true;
       return false;
     }
   };
-  int mostAttempts = 0;
+  int maxAttempts = 0;
   Nanos endBy = std::numeric_limits<Nanos>::max();
-  std::map<broker::RequestNo, Asked> asked;
+  std::map<broker::RequestNo, TrackedRequest> asked;
   std::set<ServerId> serving;
   std::string fault;
 
-  void wrong(const std::string& what) {
+  void violation(const std::string& what) {
     if (fault.empty()) fault = what;
   }
   void starts(const broker::AttemptOrder& order, Nanos now) {
     auto& request = asked[order.id.request];
-    auto& outs = request.parts[order.id.part];
-    if (request.over) wrong("sent for a request that is over");
-    if (serving.count(order.server) == 0) wrong("sent to a server that is leaving");
-    if (static_cast<int>(outs.size()) > order.id.attempt) return wrong("an attempt's number is taken");
-    // One that the core did not make, since its time was over, is numbered all the same.
-    outs.resize(static_cast<std::size_t>(order.id.attempt), {order.server, false, Outcome::notSent, now});
-    const auto made = std::count_if(outs.begin(), outs.end(),
-                                    [](const Out& o) { return !o.end || *o.end != Outcome::notSent; });
-    if (made >= mostAttempts) wrong("too many attempts");
-    for (const auto& out : outs) {
-      if (!out.mayHaveRun()) continue;
-      if (request.effect == Effect::unsafe) wrong("sent again though it may have run");
-      if (request.effect == Effect::keyed && now > out.startedAt + request.window)
-        wrong("sent again after its window");
-      if (request.effect == Effect::keyed && order.writeBy > out.startedAt + request.window)
-        wrong("may leave after its window");
+    auto& attempts = request.parts[order.id.part];
+    if (request.over) violation("sent for an ended request");
+    if (serving.count(order.server) == 0) violation("sent to a server that is not up");
+    if (static_cast<int>(attempts.size()) > order.id.attempt) return violation("duplicate attempt number");
+    // An attempt that the core did not make because its deadline had passed is numbered all the same.
+    attempts.resize(static_cast<std::size_t>(order.id.attempt), {order.server, false, Outcome::notSent, now});
+    const auto made = std::count_if(attempts.begin(), attempts.end(), [](const TrackedAttempt& o) {
+      return !o.end || *o.end != Outcome::notSent;
+    });
+    if (made >= maxAttempts) violation("too many attempts");
+    for (const auto& attempt : attempts) {
+      if (!attempt.mayHaveRun()) continue;
+      if (request.effect == Effect::unsafe) violation("retried although it may have run");
+      if (request.effect == Effect::keyed && now > attempt.startedAt + request.window)
+        violation("retried after the keyed window");
+      if (request.effect == Effect::keyed && order.writeBy > attempt.startedAt + request.window)
+        violation("writeBy beyond the keyed window");
     }
-    if (now + order.wait > std::min(request.due, std::max(endBy, now))) wrong("waits past its time");
-    outs.push_back({order.server, false, std::nullopt, now});
+    if (now + order.wait > std::min(request.due, std::max(endBy, now)))
+      violation("attempt time-out beyond the deadline");
+    attempts.push_back({order.server, false, std::nullopt, now});
   }
   void answered(broker::RequestNo no, const broker::FinalAnswer& answer, Nanos now) {
     auto& request = asked[no];
-    if (std::exchange(request.over, true)) wrong("a second final answer");
-    if (now > std::min(request.due, std::max(endBy, now))) wrong("a late final answer");
+    if (std::exchange(request.over, true)) violation("second final answer");
+    if (now > std::min(request.due, std::max(endBy, now))) violation("late final answer");
     if (answer.verdict == broker::Verdict::refused && request.effect != Effect::safe && request.mayHaveRun())
-      wrong("called harmless though it may have run");
+      violation("refused although it may have run");
   }
   void atEnd(const broker::Broker& core) {
     for (const auto& [no, request] : asked) {
-      if (!request.over) wrong("a request without a final answer");
-      for (const auto& [part, outs] : request.parts)
-        for (const auto& out : outs)
-          if (!out.end && !out.cancelled) wrong("an attempt that nobody has ended");
+      if (!request.over) violation("request without a final answer");
+      for (const auto& [part, attempts] : request.parts)
+        for (const auto& attempt : attempts)
+          if (!attempt.end && !attempt.cancelled) violation("attempt neither ended nor cancelled");
     }
-    if (core.open() != 0 || core.held() != 0) wrong("a place that is still taken");
+    if (core.open() != 0 || core.held() != 0) violation("requests still held at the end");
   }
 };
 
-struct World : broker::Clock, broker::Backend, broker::Front {
-  explicit World(unsigned seed) : random(seed), core(terms(seed % 4 > 1), *this, *this, log) {
-    checker.mostAttempts = core.terms().settings.maxAttempts;
+// The core together with its fake clock, backend and front, and the random events.
+struct Simulation : broker::Clock, broker::Backend, broker::Front {
+  explicit Simulation(unsigned seed) : random(seed), core(terms(seed % 4 > 1), *this, *this, log) {
+    checker.maxAttempts = core.terms().settings.maxAttempts;
     for (ServerId id = 1; id <= kServers; ++id) states[id] = {ServerState::up, 0};
-    tell(ListNews::Scope::initial);
+    updateServers(ListNews::Scope::initial);
   }
-  // `cold`: servers that start can do nothing at first, and are watched over by the rule on overload.
+  // `cold`: servers start with no capacity, and the rule on overloading cold servers applies.
   static broker::Terms terms(bool cold) {
     broker::Terms t;
     auto& s = t.settings;
-    if (cold) s.coldFrom = 0, s.coldFor = 3000 * kMs, s.tipMultiple = 4, s.tipWindow = 1000 * kMs;
-    s.seed = 5, s.tick = 5 * kMs, s.shards = kShards, s.cells = kServers, s.reach = 3, s.maxAttempts = 4;
-    s.secondCopies = s.cancelling = s.retryAfter = true;
+    if (cold) {
+      s.coldFrom = 0;
+      s.coldFor = 3000 * kMs;
+      s.tipMultiple = 4;
+      s.tipWindow = 1000 * kMs;
+    }
+    s.seed = 5;
+    s.tick = 5 * kMs;
+    s.shards = kShards;
+    s.cells = kServers;
+    s.reach = 3;
+    s.maxAttempts = 4;
+    s.secondCopies = true;
+    s.cancelling = true;
+    s.retryAfter = true;
     s.maxRetryAfter = 2000 * kMs;
     for (const auto effect : {Effect::safe, Effect::keyed, Effect::unsafe})
       s.classes.push_back({.name = std::to_string(s.classes.size()),
@@ -119,7 +140,7 @@
   void start(broker::AttemptOrder order) override {
     checker.starts(order, time);
     live.push_back(order.id);
-    written[order.id] = random() % 3 > 0;  // else it waits for its connection
+    written[order.id] = random() % 3 > 0;  // else it still waits for a connection
   }
   void cancel(const broker::AttemptId& id) override {
     std::erase(live, id);
@@ -129,7 +150,7 @@
     checker.answered(no, answer, time);
   }
 
-  std::size_t any(std::size_t count) { return random() % count; }
+  std::size_t randomBelow(std::size_t count) { return random() % count; }
   void ends(const broker::AttemptId& id, Outcome outcome) {
     std::erase(live, id);
     checker.asked[id.request].parts[id.part][static_cast<std::size_t>(id.attempt)].end = outcome;
@@ -144,17 +165,17 @@
     }
     time = until;
   }
-  void tell(ListNews::Scope scope) {
-    ListNews news;
-    news.scope = scope;
+  void updateServers(ListNews::Scope scope) {
+    ListNews update;
+    update.scope = scope;
     checker.serving.clear();
     for (const auto& [id, state] : states) {
-      news.entries.push_back(
+      update.entries.push_back(
           {.server = id, .cell = static_cast<int>(id) - 1, .state = state.first, .startedAt = state.second});
       if (state.first == ServerState::up) checker.serving.insert(id);
     }
-    core.told(std::move(news));
-    // As the pool does: what has not left for a server that leaves is called back.
+    core.told(std::move(update));
+    // Like the connection pool: attempts not yet written to a server that is no longer up are not sent.
     for (const auto& id : std::vector(live)) {
       const bool out = std::find(live.begin(), live.end(), id) != live.end();
       const auto server =
@@ -165,9 +186,9 @@
   void ask() {
     broker::Request r;
     r.id = "q" + std::to_string(++asked);
-    r.queryClass = static_cast<int>(any(3));
-    r.timeLeft = static_cast<Nanos>(50 + any(1500)) * kMs;
-    const int parts = 1 + static_cast<int>(any(kShards));
+    r.queryClass = static_cast<int>(randomBelow(3));
+    r.timeLeft = static_cast<Nanos>(50 + randomBelow(1500)) * kMs;
+    const int parts = 1 + static_cast<int>(randomBelow(kShards));
     for (int i = 0; i < parts; ++i) r.parts.push_back({i, 1.0 / parts});
     const auto& cls = core.terms().settings.classes[static_cast<std::size_t>(r.queryClass)];
     const Nanos due = time + r.timeLeft;
@@ -179,36 +200,36 @@
   }
   void step() {
     std::erase_if(open, [&](auto no) { return checker.asked[no].over; });
-    switch (any(10)) {
+    switch (randomBelow(10)) {
       case 0:
       case 1:
         return ask();
       case 2: {
-        auto& state = states[1 + any(kServers)];
-        state.first = static_cast<ServerState>(any(3));
-        if (any(3) == 0) state.second = time;  // replaced
-        return tell(any(2) == 0 ? ListNews::Scope::full : ListNews::Scope::changes);
+        auto& state = states[1 + randomBelow(kServers)];
+        state.first = static_cast<ServerState>(randomBelow(3));
+        if (randomBelow(3) == 0) state.second = time;  // the server has restarted
+        return updateServers(randomBelow(2) == 0 ? ListNews::Scope::full : ListNews::Scope::changes);
       }
       case 3:
-        if (open.empty() || any(3) > 0) return;
-        checker.asked[open[any(open.size())]].over = true;  // its client leaves
+        if (open.empty() || randomBelow(3) > 0) return;
+        checker.asked[open[randomBelow(open.size())]].over = true;  // its client disconnects
         for (const auto no : open)
           if (checker.asked[no].over) core.abandon(no);
         return;
       case 4:
-        return pass(static_cast<Nanos>(any(200)) * kMs);
+        return pass(static_cast<Nanos>(randomBelow(200)) * kMs);
       case 5:
-        return pass(static_cast<Nanos>(any(20)) * kMs);
+        return pass(static_cast<Nanos>(randomBelow(20)) * kMs);
       default:
         if (live.empty()) return;
-        const auto id = live[any(live.size())];
+        const auto id = live[randomBelow(live.size())];
         constexpr Outcome kNever[] = {Outcome::connectFailed, Outcome::notSent};
         constexpr Outcome kEnds[] = {Outcome::delivered, Outcome::delivered, Outcome::error,
                                      Outcome::rejected,  Outcome::timedOut,  Outcome::reset,
                                      Outcome::delivered};
-        return written[id]   ? ends(id, kEnds[any(7)])
-               : any(2) == 0 ? static_cast<void>(written[id] = true)
-                             : ends(id, kNever[any(2)]);
+        return written[id]           ? ends(id, kEnds[randomBelow(7)])
+               : randomBelow(2) == 0 ? static_cast<void>(written[id] = true)
+                                     : ends(id, kNever[randomBelow(2)]);
     }
   }
 
@@ -225,37 +246,38 @@
   broker::Broker core;
 };
 
-void anyOrderEndsWell() {
+void randomOrdersKeepInvariants() {
   std::map<Effect, int> answered;
   for (unsigned seed = 1; seed <= 400; ++seed) {
-    World w(seed);
-    for (int i = 0; i < 300 && w.checker.fault.empty(); ++i) w.step();
-    // Half of the worlds end as a process does; the others by the clients' time alone.
+    Simulation sim(seed);
+    for (int i = 0; i < 300 && sim.checker.fault.empty(); ++i) sim.step();
+    // Half of the simulations end with a graceful shutdown, the others by the clients' deadlines alone.
     if (seed % 2 == 0) {
-      w.checker.endBy = w.time + static_cast<Nanos>(w.any(300)) * kMs;
-      w.core.endBy(w.checker.endBy);
-      for (int i = 0; i < 60 && w.checker.fault.empty(); ++i) w.step();
+      sim.checker.endBy = sim.time + static_cast<Nanos>(sim.randomBelow(300)) * kMs;
+      sim.core.endBy(sim.checker.endBy);
+      for (int i = 0; i < 60 && sim.checker.fault.empty(); ++i) sim.step();
     }
-    w.pass(20'000 * kMs);
-    w.checker.atEnd(w.core);
-    for (const auto& [no, request] : w.checker.asked)
+    sim.pass(20'000 * kMs);
+    sim.checker.atEnd(sim.core);
+    for (const auto& [no, request] : sim.checker.asked)
       answered[request.effect] += request.parts.empty() ? 0 : 1;
-    if (!w.checker.fault.empty()) std::fprintf(stderr, "seed %u: %s\n", seed, w.checker.fault.c_str());
-    CHECK(w.checker.fault.empty());
+    if (!sim.checker.fault.empty()) std::fprintf(stderr, "seed %u: %s\n", seed, sim.checker.fault.c_str());
+    CHECK(sim.checker.fault.empty());
   }
-  for (const auto& [effect, count] : answered) CHECK(count > 1000);  // all kinds were really tried
+  for (const auto& [effect, count] : answered) CHECK(count > 1000);  // every effect class was exercised
 }
 
-// Each kind of violation is seen.
-void theCheckerSees() {
+// The checker detects each kind of violation.
+void checkerDetectsViolations() {
   const auto order = [](int attempt, Nanos wait = kMs, Nanos writeBy = 0) {
     return broker::AttemptOrder{{1, 0, attempt}, 1, "q.0", 0, nullptr, wait, writeBy};
   };
-  const auto sees = [&](const std::string& what, Effect effect, const std::function<void(Checker&)>& wrong) {
+  const auto detects = [&](const std::string& what, Effect effect, const std::function<void(Checker&)>& act) {
     Checker c;
-    c.mostAttempts = 2, c.serving = {1};
+    c.maxAttempts = 2;
+    c.serving = {1};
     c.asked[1] = {effect, 100 * kMs, 1000 * kMs, false, {}};
-    wrong(c);
+    act(c);
     if (c.fault != what) std::fprintf(stderr, "%s, not %s\n", c.fault.c_str(), what.c_str());
     CHECK(c.fault == what);
   };
@@ -263,45 +285,46 @@
   const auto fails = [](Checker& c, int at, Outcome how) {
     c.asked[1].parts[0][static_cast<std::size_t>(at)].end = how;
   };
-  sees("", Effect::safe,
-       [&](Checker& c) { c.starts(order(0), 0), c.starts(order(1), 0), c.answered(1, refused, 0); });
-  sees("sent for a request that is over", Effect::safe,
-       [&](Checker& c) { c.answered(1, refused, 0), c.starts(order(0), 0); });
-  sees("sent to a server that is leaving", Effect::safe,
-       [&](Checker& c) { c.serving.clear(), c.starts(order(0), 0); });
-  sees("an attempt's number is taken", Effect::safe,
-       [&](Checker& c) { c.starts(order(0), 0), c.starts(order(0), 0); });
-  sees("too many attempts", Effect::safe, [&](Checker& c) {
+  detects("", Effect::safe,
+          [&](Checker& c) { c.starts(order(0), 0), c.starts(order(1), 0), c.answered(1, refused, 0); });
+  detects("sent for an ended request", Effect::safe,
+          [&](Checker& c) { c.answered(1, refused, 0), c.starts(order(0), 0); });
+  detects("sent to a server that is not up", Effect::safe,
+          [&](Checker& c) { c.serving.clear(), c.starts(order(0), 0); });
+  detects("duplicate attempt number", Effect::safe,
+          [&](Checker& c) { c.starts(order(0), 0), c.starts(order(0), 0); });
+  detects("too many attempts", Effect::safe, [&](Checker& c) {
     for (int i = 0; i < 3; ++i) c.starts(order(i), 0);
   });
-  sees("", Effect::unsafe, [&](Checker& c) {
+  detects("", Effect::unsafe, [&](Checker& c) {
     c.starts(order(0), 0), fails(c, 0, Outcome::connectFailed), c.starts(order(1), 0);
   });
-  sees("sent again though it may have run", Effect::unsafe,
-       [&](Checker& c) { c.starts(order(0), 0), fails(c, 0, Outcome::reset), c.starts(order(1), 0); });
-  sees("sent again after its window", Effect::keyed,
-       [&](Checker& c) { c.starts(order(0), 0), c.starts(order(1, kMs, 100 * kMs), 101 * kMs); });
-  sees("may leave after its window", Effect::keyed,
-       [&](Checker& c) { c.starts(order(0), 0), c.starts(order(1, kMs, 101 * kMs), 0); });
-  sees("waits past its time", Effect::safe, [&](Checker& c) { c.starts(order(0, 1001 * kMs), 0); });
-  sees("a second final answer", Effect::safe,
-       [&](Checker& c) { c.answered(1, refused, 0), c.answered(1, refused, 0); });
-  sees("a late final answer", Effect::safe, [&](Checker& c) { c.answered(1, refused, 1001 * kMs); });
-  sees("called harmless though it may have run", Effect::keyed,
-       [&](Checker& c) { c.starts(order(0), 0), c.answered(1, refused, 0); });
-  World w(1);
-  sees("a request without a final answer", Effect::safe, [&](Checker& c) { c.atEnd(w.core); });
-  sees("an attempt that nobody has ended", Effect::safe,
-       [&](Checker& c) { c.starts(order(0), 0), c.answered(1, refused, 0), c.atEnd(w.core); });
-  w.ask();
-  sees("a place that is still taken", Effect::safe,
-       [&](Checker& c) { c.answered(1, refused, 0), c.atEnd(w.core); });
+  detects("retried although it may have run", Effect::unsafe,
+          [&](Checker& c) { c.starts(order(0), 0), fails(c, 0, Outcome::reset), c.starts(order(1), 0); });
+  detects("retried after the keyed window", Effect::keyed,
+          [&](Checker& c) { c.starts(order(0), 0), c.starts(order(1, kMs, 100 * kMs), 101 * kMs); });
+  detects("writeBy beyond the keyed window", Effect::keyed,
+          [&](Checker& c) { c.starts(order(0), 0), c.starts(order(1, kMs, 101 * kMs), 0); });
+  detects("attempt time-out beyond the deadline", Effect::safe,
+          [&](Checker& c) { c.starts(order(0, 1001 * kMs), 0); });
+  detects("second final answer", Effect::safe,
+          [&](Checker& c) { c.answered(1, refused, 0), c.answered(1, refused, 0); });
+  detects("late final answer", Effect::safe, [&](Checker& c) { c.answered(1, refused, 1001 * kMs); });
+  detects("refused although it may have run", Effect::keyed,
+          [&](Checker& c) { c.starts(order(0), 0), c.answered(1, refused, 0); });
+  Simulation sim(1);
+  detects("request without a final answer", Effect::safe, [&](Checker& c) { c.atEnd(sim.core); });
+  detects("attempt neither ended nor cancelled", Effect::safe,
+          [&](Checker& c) { c.starts(order(0), 0), c.answered(1, refused, 0), c.atEnd(sim.core); });
+  sim.ask();
+  detects("requests still held at the end", Effect::safe,
+          [&](Checker& c) { c.answered(1, refused, 0), c.atEnd(sim.core); });
 }
 
 }  // namespace
 }  // namespace topazweir::test
 
 int main() {
-  topazweir::test::theCheckerSees();
-  topazweir::test::anyOrderEndsWell();
+  topazweir::test::checkerDetectsViolations();
+  topazweir::test::randomOrdersKeepInvariants();
 }
--- a/tests/ends_test.cpp
+++ b/tests/ends_test.cpp
@@ -1,6 +1,7 @@
-// Paths that end something, at the instant in which something is still owed. Real sockets on loopback; each
-// crossing is forced: a peer acts while the loop stands still, or from a timer that fires between the loop's
-// look at its sockets and its work on them. docs/design/ends.md names the cell that each case stands for.
+// Tests races between the end of something (a connection, a part, a process) and work still outstanding on
+// it. Uses real sockets on loopback. Each race is forced: a peer acts while the event loop stands still, or
+// from a timer that fires between the loop's poll and its handling of the sockets. docs/design/ends.md has a
+// table whose cells the cases cover.
 #include <fstream>
 #include <source_location>
 #include <thread>
@@ -21,12 +22,12 @@
 namespace {
 
 constexpr Nanos kMs = 1'000'000;
-constexpr Nanos kLimit = 20'000 * kMs;  // for a condition that should hold at once
+constexpr Nanos kAwaitTimeoutNs = 20'000 * kMs;  // far above the expected time, for busy machines
 
-// Lets the loop run until the condition holds.
+// Runs the loop until the condition holds; fails after kAwaitTimeoutNs.
 void await(Stage& stage, const std::function<bool()>& holds,
            const std::source_location& where = std::source_location::current()) {
-  stage.until("line " + std::to_string(where.line()), holds, kLimit);
+  stage.until("line " + std::to_string(where.line()), holds, kAwaitTimeoutNs);
 }
 
 template <class World, class... Args>
@@ -35,12 +36,12 @@
   world.play([&] { body(world, args...); });
 }
 
-// A peer without a loop: it does what the test says, when the test says so.
+// A peer without an event loop, driven step by step by the test.
 struct Peer {
   Poco::Net::StreamSocket socket;
   std::string text;
-  void say(const std::string& bytes) { socket.sendBytes(bytes.data(), static_cast<int>(bytes.size())); }
-  // Takes what has come; false: the other side has ended it.
+  void send(const std::string& bytes) { socket.sendBytes(bytes.data(), static_cast<int>(bytes.size())); }
+  // Reads the available bytes; returns false once the other side has closed the connection.
   bool read() {
     std::string chunk(1 << 20, 0);
     while (socket.poll(Poco::Timespan(0), Poco::Net::Socket::SELECT_READ)) {
@@ -50,12 +51,16 @@
     }
     return true;
   }
-  void reset() { socket.setLinger(true, 0), socket.close(); }
+  void reset() {
+    socket.setLinger(true, 0);
+    socket.close();
+  }
 };
 
 // ---- to leafs ----
 
-// A leaf whose machine takes no connection while its queue is full, and that reads when the test says so.
+// A fake leaf whose accept queue can be filled so that connects stay pending. It reads only on the test's
+// command.
 struct Leaf {
   Poco::Net::ServerSocket listener;
   std::vector<Poco::Net::StreamSocket> fillers;
@@ -70,8 +75,8 @@
   Peer accept() { return {listener.acceptConnection(), {}}; }
 };
 
-// The parts of all whole frames S. Without a limit: a frame larger than all buffers between blocks its
-// sender.
+// The part ids of all complete S frames. Frame size is not limited here: some tests send a frame larger than
+// all buffers on the way, to block its sender.
 std::vector<std::string> parts(const std::string& bytes) {
   std::vector<std::string> out;
   for (std::string_view rest = bytes; rest.size() > 4;) {
@@ -95,11 +100,12 @@
       loop, log, directory, {32, 0, 30'000 * kMs, 8}, [this](const auto& id, auto outcome, auto) {
         ended[names.at(id)] = outcome;
       }};
-  PoolWorld() { tell(ServerState::up, 0); }
-  void tell(ServerState state, Nanos startedAt) {
+  PoolWorld() { announce(ServerState::up, 0); }
+  void announce(ServerState state, Nanos startedAt) {
     platform::NodeList list;
     platform::NodeEntry entry{.instance = "s", .address = leaf.listener.address()};
-    entry.state = state, entry.startedAt = startedAt;
+    entry.state = state;
+    entry.startedAt = startedAt;
     list.entries.push_back(entry);
     directory.apply(list, ListNews::Scope::full);
     pool.listChanged();
@@ -113,7 +119,7 @@
   bool is(const std::string& part, Outcome outcome) {
     return ended.count(part) > 0 && ended.at(part) == outcome;
   }
-  // The leaf has accepted and doesn't read: the first part has gone out in part, whatever follows waits.
+  // The leaf accepts but does not read: the first part is partly written, and later parts wait behind it.
   Peer blocked() {
     start("a.1", 16 << 20);
     await(*this, [&] { return leaf.asked(); });
@@ -121,7 +127,7 @@
     await(*this, [&] { return pool.settled(); });
     return peer;
   }
-  // What the leaf reads in the end.
+  // Lets the leaf read until `enough` holds; returns the part ids it has received.
   std::vector<std::string> readAll(Peer& peer, const std::function<bool()>& enough) {
     await(*this, [&] {
       peer.read();
@@ -131,101 +137,105 @@
   }
 };
 
-// A dial that is still coming up when the leaf is told to be leaving: the part has not left, so it comes
-// back.
-void aDialIsCalledBack(PoolWorld& w, ServerState state, Nanos startedAt) {
-  w.leaf.fill();
-  w.start("a.1");
-  CHECK(w.ended.empty() && w.pool.connections() == 1 && !w.pool.settled());
-  w.tell(state, startedAt);
-  CHECK(w.is("a.1", Outcome::notSent) && w.pool.connections() == 0);
+// A connect is pending when the leaf is announced as draining, gone or restarted: the part has not been sent
+// and is reported as such.
+void pendingConnectIsCalledBack(PoolWorld& world, ServerState state, Nanos startedAt) {
+  world.leaf.fill();
+  world.start("a.1");
+  CHECK(world.ended.empty() && world.pool.connections() == 1 && !world.pool.settled());
+  world.announce(state, startedAt);
+  CHECK(world.is("a.1", Outcome::notSent) && world.pool.connections() == 0);
 }
 
-// The same behind a leaf that does not read. What has begun to leave goes on, what has not comes back.
-void whatWaitsBehindABufferIsCalledBack(PoolWorld& w) {
-  auto peer = w.blocked();
-  w.start("a.2"), w.start("a.3");
-  w.tell(ServerState::draining, 0);
-  CHECK(w.is("a.2", Outcome::notSent) && w.is("a.3", Outcome::notSent) && w.ended.size() == 2);
-  const auto got = w.readAll(peer, [&] { return parts(peer.text).size() == 1; });
+// The same behind a leaf that does not read: a partly written part is completed, the waiting ones are
+// reported as not sent.
+void waitingPartsAreCalledBack(PoolWorld& world) {
+  auto peer = world.blocked();
+  world.start("a.2");
+  world.start("a.3");
+  world.announce(ServerState::draining, 0);
+  CHECK(world.is("a.2", Outcome::notSent) && world.is("a.3", Outcome::notSent) && world.ended.size() == 2);
+  const auto got = world.readAll(peer, [&] { return parts(peer.text).size() == 1; });
   CHECK(got == std::vector<std::string>{"a.1"});
-  peer.say(NodeSpeaker::answer("a.1"));
-  await(w, [&] { return w.is("a.1", Outcome::delivered); });
-  await(w, [&] { return !peer.read(); });  // nothing else comes before the connection's end
+  peer.send(NodeSpeaker::answer("a.1"));
+  await(world, [&] { return world.is("a.1", Outcome::delivered); });
+  await(world, [&] { return !peer.read(); });  // nothing else arrives before the connection ends
   CHECK(parts(peer.text).size() == 1);
 }
 
-// Nothing is sent for a part that its client no longer waits for, and none is asked of a leaf that has left.
-void whatIsGivenUpIsNotSent(PoolWorld& w) {
-  auto peer = w.blocked();
-  const auto id = w.start("a.2");
-  w.start("a.3");
-  w.pool.cancel(id);
-  const auto got = w.readAll(peer, [&] { return parts(peer.text).size() == 2; });
+// A cancelled part is not sent, and no part is sent to a draining leaf.
+void cancelledPartsAreNotSent(PoolWorld& world) {
+  auto peer = world.blocked();
+  const auto id = world.start("a.2");
+  world.start("a.3");
+  world.pool.cancel(id);
+  const auto got = world.readAll(peer, [&] { return parts(peer.text).size() == 2; });
   CHECK(got == std::vector<std::string>({"a.1", "a.3"}));
-  w.tell(ServerState::draining, 0);
-  w.start("a.4");
-  CHECK(w.is("a.4", Outcome::notSent));
+  world.announce(ServerState::draining, 0);
+  world.start("a.4");
+  CHECK(world.is("a.4", Outcome::notSent));
 }
 
-// A repeat whose window is over when the connection takes it does not leave.
-void aRepeatKeepsItsWindow(PoolWorld& w) {
-  auto peer = w.blocked();
-  const Nanos by = w.loop.now() + kMs;
-  w.start("a.2", 1, by);
-  w.start("a.3");
-  await(w, [&] { return w.loop.now() > by; });
-  const auto got = w.readAll(peer, [&] { return parts(peer.text).size() == 2; });
-  CHECK(got == std::vector<std::string>({"a.1", "a.3"}) && w.is("a.2", Outcome::notSent));
+// A retry whose writeBy has passed when the connection could take it is not sent.
+void retryKeepsItsWindow(PoolWorld& world) {
+  auto peer = world.blocked();
+  const Nanos by = world.loop.now() + kMs;
+  world.start("a.2", 1, by);
+  world.start("a.3");
+  await(world, [&] { return world.loop.now() > by; });
+  const auto got = world.readAll(peer, [&] { return parts(peer.text).size() == 2; });
+  CHECK(got == std::vector<std::string>({"a.1", "a.3"}) && world.is("a.2", Outcome::notSent));
 }
 
-// The connection breaks: a part whose last byte had not left cannot have run, one whose had may have.
-void aBrokenConnectionTellsWhatMayHaveRun(PoolWorld& w) {
-  w.start("b.1");
-  await(w, [&] { return w.leaf.asked(); });
-  auto peer = w.leaf.accept();
-  w.readAll(peer, [&] { return parts(peer.text).size() == 1; });
-  w.start("b.2", 16 << 20), w.start("b.3");
+// The connection breaks: a part that was not completely written cannot have run; one that was may have run.
+void brokenConnectionReportsWhatMayHaveRun(PoolWorld& world) {
+  world.start("b.1");
+  await(world, [&] { return world.leaf.asked(); });
+  auto peer = world.leaf.accept();
+  world.readAll(peer, [&] { return parts(peer.text).size() == 1; });
+  world.start("b.2", 16 << 20);
+  world.start("b.3");
   peer.reset();
-  await(w, [&] { return w.ended.size() == 3; });
-  CHECK(w.is("b.1", Outcome::reset) && w.is("b.2", Outcome::connectFailed) &&
-        w.is("b.3", Outcome::connectFailed));
+  await(world, [&] { return world.ended.size() == 3; });
+  CHECK(world.is("b.1", Outcome::reset) && world.is("b.2", Outcome::connectFailed) &&
+        world.is("b.3", Outcome::connectFailed));
 }
 
-// The leaf closes a resting connection, and a part is sent before the loop has seen that: it goes out on a
-// new one. On the old one it could not be told from a part that has run.
-void aRestingConnectionIsLookedAt(PoolWorld& w, bool words) {
-  w.start("a.1");
-  await(w, [&] { return w.leaf.asked(); });
-  auto peer = w.leaf.accept();
-  w.readAll(peer, [&] { return parts(peer.text).size() == 1; });
-  peer.say(NodeSpeaker::answer("a.1"));
-  await(w, [&] { return w.is("a.1", Outcome::delivered); });
-  if (words) peer.say(NodeSpeaker::answer("a.1"));  // an answer that comes twice, right before the end
+// The leaf closes an idle connection, and a part is sent before the loop has seen that. The part must go out
+// on a new connection: on the closed one it would be indistinguishable from a part that has run.
+void closedIdleConnectionIsNotReused(PoolWorld& world, bool duplicateAnswer) {
+  world.start("a.1");
+  await(world, [&] { return world.leaf.asked(); });
+  auto peer = world.leaf.accept();
+  world.readAll(peer, [&] { return parts(peer.text).size() == 1; });
+  peer.send(NodeSpeaker::answer("a.1"));
+  await(world, [&] { return world.is("a.1", Outcome::delivered); });
+  if (duplicateAnswer) peer.send(NodeSpeaker::answer("a.1"));  // a duplicate answer right before the end
   peer.socket.close();
-  w.start("a.2");
-  await(w, [&] { return w.leaf.asked(); });
-  auto fresh = w.leaf.accept();
-  w.readAll(fresh, [&] { return parts(fresh.text).size() == 1; });
-  CHECK(w.ended.size() == 1);
+  world.start("a.2");
+  await(world, [&] { return world.leaf.asked(); });
+  auto fresh = world.leaf.accept();
+  world.readAll(fresh, [&] { return parts(fresh.text).size() == 1; });
+  CHECK(world.ended.size() == 1);
 }
 
-// A leaf's last words in the same read as its end count, and what they lead to goes elsewhere.
-void lastWordsCount(PoolWorld& w) {
-  w.start("a.1"), w.start("a.2");
-  await(w, [&] { return w.leaf.asked(); });
-  auto peer = w.leaf.accept();
-  w.readAll(peer, [&] { return parts(peer.text).size() == 2; });
+// Answers that arrive in the same read as the end of the connection count; an incomplete answer is a reset.
+void finalAnswersCount(PoolWorld& world) {
+  world.start("a.1");
+  world.start("a.2");
+  await(world, [&] { return world.leaf.asked(); });
+  auto peer = world.leaf.accept();
+  world.readAll(peer, [&] { return parts(peer.text).size() == 2; });
   auto half = NodeSpeaker::answer("a.2");
-  peer.say(NodeSpeaker::answer("a.1") + half.substr(0, half.size() / 2));
+  peer.send(NodeSpeaker::answer("a.1") + half.substr(0, half.size() / 2));
   peer.socket.close();
-  await(w, [&] { return w.ended.size() == 2; });
-  CHECK(w.is("a.1", Outcome::delivered) && w.is("a.2", Outcome::reset));
+  await(world, [&] { return world.ended.size() == 2; });
+  CHECK(world.is("a.1", Outcome::delivered) && world.is("a.2", Outcome::reset));
 }
 
 // ---- to clients ----
 
-struct Note : http::Server::Handler {
+struct RecordingHandler : http::Server::Handler {
   http::Server* server = nullptr;
   std::vector<http::Server::ExchangeNo> open;
   std::vector<std::string> asked;
@@ -239,17 +249,18 @@
 
 struct ServerWorld : Stage {
   broker::Log log{[](auto, auto) {}, [] { return Nanos{0}; }};
-  Note note;
+  RecordingHandler handler;
   http::Server server;
   ServerWorld()
       : server(loop, log, {"test", Poco::Net::SocketAddress("127.0.0.1", 0), 16, 60'000 * kMs, 60'000 * kMs},
-               note) {
-    note.server = &server;
+               handler) {
+    handler.server = &server;
   }
   Peer connect() { return {Poco::Net::StreamSocket(server.address()), {}}; }
-  Peer rests() {  // has been served and keeps its connection
+  // A client that has been served and keeps its connection open.
+  Peer idleClient() {
     auto peer = connect();
-    peer.say(get("/first"));
+    peer.send(get("/first"));
     await(*this, [&] { return peer.read() && peer.text.ends_with("ok"); });
     peer.text.clear();
     return peer;
@@ -257,119 +268,132 @@
   static std::string get(const std::string& path) { return "GET " + path + " HTTP/1.1\r\nHost: a\r\n\r\n"; }
 };
 
-// A client that asked while the program was busy, and left: nobody works for it.
-void whoHasLeftIsNotServed(ServerWorld& w) {
+// A client that sent a request and disconnected while the process was busy: the request is not handled.
+void disconnectedClientsAreNotServed(ServerWorld& world) {
   {
-    auto leaves = w.connect(), breaks = w.connect();
-    leaves.say(w.get("/open")), breaks.say(w.get("/open"));
+    auto leaves = world.connect();
+    auto breaks = world.connect();
+    leaves.send(world.get("/open"));
+    breaks.send(world.get("/open"));
     breaks.reset();
   }
-  auto stays = w.connect();
-  stays.say(w.get("/last"));
-  await(w, [&] { return stays.read() && stays.text.ends_with("ok") && w.server.connections() == 1; });
-  CHECK(w.note.asked == std::vector<std::string>{"/last"});
+  auto stays = world.connect();
+  stays.send(world.get("/last"));
+  await(world, [&] { return stays.read() && stays.text.ends_with("ok") && world.server.connections() == 1; });
+  CHECK(world.handler.asked == std::vector<std::string>{"/last"});
 }
 
-// The same with more sent ahead than is read (256 KiB and what the last read brings, 64 KiB at most), and no
-// more than the machine holds besides: the client's end stands behind it.
-void floodsThatLeaveAreNotServed(ServerWorld& w) {
-  std::string ahead = w.get("/open");
-  while (ahead.size() < 340 * 1024) ahead += w.get("/ahead");
-  auto pours = w.connect();
+// The same for a client that pipelines more than the server reads ahead (256 KiB plus at most 64 KiB of the
+// last read) but no more than the kernel buffers in addition: the end of its connection is queued behind that
+// data.
+void disconnectedPipeliningClientIsNotServed(ServerWorld& world) {
+  std::string ahead = world.get("/open");
+  while (ahead.size() < 340 * 1024) ahead += world.get("/ahead");
+  auto pours = world.connect();
   pours.socket.setBlocking(false);
   std::size_t sent = 0;
-  await(w, [&] {
+  await(world, [&] {
     const int got = sent == ahead.size()
                         ? 0
                         : pours.socket.sendBytes(ahead.data() + sent, static_cast<int>(ahead.size() - sent));
     sent += got > 0 ? static_cast<std::size_t>(got) : 0;
-    return w.note.open.size() == 1 && sent == ahead.size();
+    return world.handler.open.size() == 1 && sent == ahead.size();
   });
   pours.socket.close();
-  await(w, [&] { return w.note.gone == 1; });  // its place is free though nothing was answered
-  CHECK(w.note.asked.size() == 1 && w.server.connections() == 0);
+  await(world,
+        [&] { return world.handler.gone == 1; });  // the connection is released though nothing was answered
+  CHECK(world.handler.asked.size() == 1 && world.server.connections() == 0);
 }
 
-// The loop stands still while a client leaves and a timer falls due: the client is heard first. The timer
-// runs in that same round, and so do those that are set again and again while clients go on talking.
-void clientsAreHeardFirst(ServerWorld& w) {
-  auto leaves = w.connect(), stays = w.rests();
-  leaves.say(w.get("/open"));
-  await(w, [&] { return w.note.open.size() == 1; });
+// A client disconnects and a timer falls due while the loop is stalled: the client's event is handled first,
+// and the timer still runs in the same iteration. Timers that are set again and again are not starved by
+// client input.
+void clientEventsPrecedeTimers(ServerWorld& world) {
+  auto leaves = world.connect();
+  auto stays = world.idleClient();
+  leaves.send(world.get("/open"));
+  await(world, [&] { return world.handler.open.size() == 1; });
   int gone = -1;
-  w.loop.after(10 * kMs, [&] { gone = w.note.gone; });
+  world.loop.after(10 * kMs, [&] { gone = world.handler.gone; });
   leaves.socket.close();
   std::this_thread::sleep_for(std::chrono::milliseconds(150));
-  await(w, [&] { return gone >= 0; });
-  CHECK(gone == 1 && w.server.connections() == 1);
+  await(world, [&] { return gone >= 0; });
+  CHECK(gone == 1 && world.server.connections() == 1);
 
   int fired = 0;
   std::function<void()> again = [&] {
-    std::this_thread::sleep_for(std::chrono::milliseconds(60));  // each makes the clients' look due
-    stays.say(w.get("/talks"));
-    if (++fired < 5) w.loop.soon(again);
+    // Long enough that the sockets are polled before the next timer.
+    std::this_thread::sleep_for(std::chrono::milliseconds(60));
+    stays.send(world.get("/talks"));
+    if (++fired < 5) world.loop.soon(again);
   };
   bool other = false;
-  w.loop.soon(again), w.loop.soon([&] { other = true; });
-  await(w, [&] { return fired == 5 && other; });
-  await(w, [&] {
+  world.loop.soon(again);
+  world.loop.soon([&] { other = true; });
+  await(world, [&] { return fired == 5 && other; });
+  await(world, [&] {
     stays.read();
-    return w.note.asked.size() == 7;  // "/open", "/first" and these
+    return world.handler.asked.size() == 7;  // "/open", "/first" and these
   });
 }
 
-// Room is made by closing a resting connection on which a request has just come in: it is served. The request
-// is written from a timer, after the loop has looked at its sockets and before it accepts.
-void aRequestThatCrossesAnEvictionIsServed(ServerWorld& w) {
-  auto rests = w.rests();
-  w.server.limit(1);
-  auto next = w.connect();
-  w.loop.soon([&] { rests.say(w.get("/crosses")); });
-  await(w, [&] {
+// The server evicts an idle connection on which a request has just arrived: the request is served. It is
+// written from a timer, after the loop has polled its sockets and before it accepts.
+void requestDuringEvictionIsServed(ServerWorld& world) {
+  auto rests = world.idleClient();
+  world.server.limit(1);
+  auto next = world.connect();
+  world.loop.soon([&] { rests.send(world.get("/crosses")); });
+  await(world, [&] {
     rests.read();
     return rests.text.ends_with("ok");
   });
-  CHECK(w.note.asked == std::vector<std::string>({"/first", "/crosses"}));
+  CHECK(world.handler.asked == std::vector<std::string>({"/first", "/crosses"}));
 }
 
-// The end of serving: a request that comes after the half-close is not taken, one that came before is served,
-// and no exit is quiet while a client has yet to read.
-void aRequestThatCrossesTheShutdownIsNotTaken(ServerWorld& w) {
-  auto rests = w.rests(), crosses = w.rests();
-  crosses.say(w.get("/before"));
-  w.server.stopAccepting();  // reads that, and ends both
-  CHECK(w.server.connections() == 0 && !w.server.quiet());
-  await(w, [&] { return !rests.read(); });
-  rests.say(w.get("/after"));
-  await(w, [&] { return !crosses.read() && crosses.text.ends_with("ok"); });
-  CHECK(w.note.asked == std::vector<std::string>({"/first", "/first", "/before"}));
-  rests.socket.close(), crosses.socket.close();
-  await(w, [&] { return w.server.quiet(); });
+// Graceful shutdown: a request that arrives after the half-close is not taken, one that arrived before is
+// served, and the server is not quiet while a client has yet to read its response.
+void requestDuringShutdownIsNotTaken(ServerWorld& world) {
+  auto rests = world.idleClient();
+  auto crosses = world.idleClient();
+  crosses.send(world.get("/before"));
+  world.server.stopAccepting();  // reads the request and half-closes both connections
+  CHECK(world.server.connections() == 0 && !world.server.quiet());
+  await(world, [&] { return !rests.read(); });
+  rests.send(world.get("/after"));
+  await(world, [&] { return !crosses.read() && crosses.text.ends_with("ok"); });
+  CHECK(world.handler.asked == std::vector<std::string>({"/first", "/first", "/before"}));
+  rests.socket.close();
+  crosses.socket.close();
+  await(world, [&] { return world.server.quiet(); });
 }
 
-// Who has just connected is about to ask, though the listener closes.
-void aYoungConnectionIsHeard(ServerWorld& w) {
-  auto young = w.connect();
-  w.server.stopAccepting();
-  CHECK(w.server.connections() == 1);
-  young.say(w.get("/young"));
-  await(w, [&] { return !young.read(); });
+// A connection that has not sent its first request yet is kept when the listener closes.
+void newConnectionIsServedDuringShutdown(ServerWorld& world) {
+  auto young = world.connect();
+  world.server.stopAccepting();
+  CHECK(world.server.connections() == 1);
+  young.send(world.get("/young"));
+  await(world, [&] { return !young.read(); });
   CHECK(young.text.ends_with("ok"));
 }
 
-// Half a head, half a body: turned down when the time to end has come. One that has come in whole by then is
-// served, seen by the loop or not.
-void halfRequestsEnd(ServerWorld& w) {
-  auto head = w.connect(), body = w.connect(), whole = w.connect();
-  head.say("GET /he"), body.say("POST /b HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\nhalf"),
-      whole.say("GET ");
-  w.server.stopAccepting();
-  CHECK(w.server.connections() == 3);
-  whole.say("/whole HTTP/1.1\r\nHost: a\r\n\r\n");
-  w.server.endUnfinished();
-  await(w, [&] { return !head.read() && !body.read() && !whole.read(); });
+// Incomplete requests get status 408 at the end of the shutdown. A request that is complete by then is
+// served, even if the loop has not read it yet.
+void incompleteRequestsGet408(ServerWorld& world) {
+  auto head = world.connect();
+  auto body = world.connect();
+  auto whole = world.connect();
+  head.send("GET /he");
+  body.send("POST /b HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\nhalf");
+  whole.send("GET ");
+  world.server.stopAccepting();
+  CHECK(world.server.connections() == 3);
+  whole.send("/whole HTTP/1.1\r\nHost: a\r\n\r\n");
+  world.server.endUnfinished();
+  await(world, [&] { return !head.read() && !body.read() && !whole.read(); });
   CHECK(head.text.find(" 408 ") != std::string::npos && body.text.find(" 408 ") != std::string::npos);
-  CHECK(whole.text.ends_with("ok") && w.server.connections() == 0);
+  CHECK(whole.text.ends_with("ok") && world.server.connections() == 0);
 }
 
 // ---- to discovery ----
@@ -382,8 +406,8 @@
          "\",\n      \"weight\": 1.0,\n      \"startedAtMs\": 0\n    }\n  ]\n}";
 }
 
-// Lists on one line or many, with empty lines between, cut at any byte, are the same lists.
-void listsAreCutAsValues() {
+// The stream of server lists is split the same way whatever its line breaks and at whatever byte it is cut.
+void listsAreSplitAsJsonValues() {
   const Parse parse = [](const std::vector<std::string>& pieces) {
     platform::ListCutter cutter(4096);
     std::string out;
@@ -426,10 +450,10 @@
   broker::Log log{[this](auto event, auto text) { lines.append(event).append(" ").append(text) += '\n'; },
                   [] { return Nanos{0}; }};
   Agent agent;
-  std::vector<std::int64_t> told;
+  std::vector<std::int64_t> generations;
   platform::Discovery discovery{
       loop, log, agent.listener.address(), {"a"}, 0, platform::RetryPace(1, true, 1), [this](const auto& l) {
-        told.push_back(l.generation);
+        generations.push_back(l.generation);
       }};
   void untilWatched(std::size_t count) {
     await(*this, [&] {
@@ -441,28 +465,28 @@
   }
 };
 
-// Lists that came in the same read as the watch's end, or before what breaks it, are applied first.
-void lastListsCount(WatchWorld& w, std::string end, std::string why) {
-  w.untilWatched(1);
-  w.agent.watches[0].say(kWatch + Agent::chunk(list(5) + "\n" + list(6)) + end);
-  if (end.empty()) w.agent.watches[0].socket.close();
-  await(w, [&] { return w.lines.find("discovery.lost") != std::string::npos; });
-  CHECK(w.told == std::vector<std::int64_t>({5, 6}) && w.lines.find(why) != std::string::npos);
-  w.untilWatched(2);
-  CHECK(w.agent.watches[1].text.find("from=6 ") != std::string::npos);
+// Lists that arrive in the same read as the end of the watch, or before a malformed chunk, are applied first.
+void finalListsAreApplied(WatchWorld& world, std::string end, std::string why) {
+  world.untilWatched(1);
+  world.agent.watches[0].send(kWatch + Agent::chunk(list(5) + "\n" + list(6)) + end);
+  if (end.empty()) world.agent.watches[0].socket.close();
+  await(world, [&] { return world.lines.find("discovery.lost") != std::string::npos; });
+  CHECK(world.generations == std::vector<std::int64_t>({5, 6}) && world.lines.find(why) != std::string::npos);
+  world.untilWatched(2);
+  CHECK(world.agent.watches[1].text.find("from=6 ") != std::string::npos);
 }
 
-// A list that begins and never ends is no life, however busy the connection: the watch is opened anew. So is
-// one that a whole head is followed by nothing on.
-void halfAListIsNoLife(WatchWorld& w, bool busy) {
-  w.untilWatched(1);
-  w.agent.watches[0].say(kWatch + (busy ? Agent::chunk("{\"generation\":1,") : ""));
-  await(w, [&] {
-    if (busy && w.lines.empty()) w.agent.watches[0].say(Agent::chunk(" "));
-    return w.lines.find("discovery.lost silent") != std::string::npos;
+// An incomplete list does not count as a sign of life, however many bytes arrive: the watch is reopened. So
+// is a watch that sends nothing after its response head.
+void incompleteListIsNoSignOfLife(WatchWorld& world, bool busy) {
+  world.untilWatched(1);
+  world.agent.watches[0].send(kWatch + (busy ? Agent::chunk("{\"generation\":1,") : ""));
+  await(world, [&] {
+    if (busy && world.lines.empty()) world.agent.watches[0].send(Agent::chunk(" "));
+    return world.lines.find("discovery.lost silent") != std::string::npos;
   });
-  w.untilWatched(2);
-  CHECK(w.told.empty());
+  world.untilWatched(2);
+  CHECK(world.generations.empty());
 }
 
 // ---- the process ----
@@ -496,13 +520,13 @@
     client->stopsLoop = false;
     return client;
   }
-  int upSays() {
+  int upStatus() {
     const auto client = ask(ServerWorld::get("/up"));
     await(*this, [&] { return client->done(); });
     return client->status;
   }
   void untilReady() {
-    while (upSays() != 200) CHECK(!process->over());
+    while (upStatus() != 200) CHECK(!process->over());
   }
   static std::string query(const std::string& seconds) {
     const std::string body = R"({"targets":[{"partition":0,"share":1}],"query":"x"})";
@@ -511,44 +535,44 @@
   }
 };
 
-// A query whose client would wait for far longer than the process may live gets its answer before the kill:
-// told that it may come again, since the class may be repeated. A client that rests and never closes does not
-// hold up the exit.
-void allIsAnsweredBeforeTheKill(const char* program) {
-  ProcessWorld w(program, "kill", Fault::silent, Fault::none);
-  w.play([&] {
-    w.untilReady();
-    Peer rests{Poco::Net::StreamSocket(Poco::Net::SocketAddress(w.listen)), {}};
-    rests.say(ServerWorld::get("/up"));
-    const auto open = w.ask(ProcessWorld::query("9"));
-    await(w, [&] { return w.leaf.requests() > 0 && rests.read() && !rests.text.empty(); });
-    w.process->terminate();
-    await(w, [&] { return open->done(); });
-    CHECK(open->status == 503 && w.process->said("request.cut_at_end"));
-    await(w, [&] { return w.process->over(); });
-    CHECK(*w.process->exited() == 0 && !rests.read());
+// A query whose deadline lies beyond the end of the graceful shutdown is answered before the process is
+// killed: with 503, since its class is safe to retry. An idle client that never closes does not delay the
+// exit.
+void allIsAnsweredBeforeShutdownEnds(const char* program) {
+  ProcessWorld world(program, "kill", Fault::silent, Fault::none);
+  world.play([&] {
+    world.untilReady();
+    Peer rests{Poco::Net::StreamSocket(Poco::Net::SocketAddress(world.listen)), {}};
+    rests.send(ServerWorld::get("/up"));
+    const auto open = world.ask(ProcessWorld::query("9"));
+    await(world, [&] { return world.leaf.requests() > 0 && rests.read() && !rests.text.empty(); });
+    world.process->terminate();
+    await(world, [&] { return open->done(); });
+    CHECK(open->status == 503 && world.process->said("request.cut_at_end"));
+    await(world, [&] { return world.process->over(); });
+    CHECK(*world.process->exited() == 0 && !rests.read());
   });
 }
 
-// What discovery has to say counts from the first moment: a new process takes no client by its old list.
-void theFirstListComesFirst(const char* program) {
-  ProcessWorld w(program, "first", Fault::none, Fault::none, "Terminating");
-  w.play([&] {
-    w.untilReady();
-    const auto client = w.ask(ProcessWorld::query("0.9"));
-    await(w, [&] { return client->done(); });
-    CHECK(client->status == 503 && w.leaf.requests() == 0);
+// A new process waits for the first list from discovery instead of serving by its configured one.
+void firstListPrecedesServing(const char* program) {
+  ProcessWorld world(program, "first", Fault::none, Fault::none, "Terminating");
+  world.play([&] {
+    world.untilReady();
+    const auto client = world.ask(ProcessWorld::query("0.9"));
+    await(world, [&] { return client->done(); });
+    CHECK(client->status == 503 && world.leaf.requests() == 0);
   });
 }
 
-// But one that says nothing does not keep it from serving, by the list that it was given.
-void aSilentAgentHoldsUpNoStart(const char* program) {
-  ProcessWorld w(program, "silent", Fault::none, Fault::silent);
-  w.play([&] {
-    w.untilReady();
-    const auto client = w.ask(ProcessWorld::query("0.9"));
-    await(w, [&] { return client->done(); });
-    CHECK(client->status == 200 && w.agent.requests() > 1);
+// An unresponsive discovery agent does not keep a process from serving by its configured list.
+void unresponsiveAgentDoesNotBlockStart(const char* program) {
+  ProcessWorld world(program, "silent", Fault::none, Fault::silent);
+  world.play([&] {
+    world.untilReady();
+    const auto client = world.ask(ProcessWorld::query("0.9"));
+    await(world, [&] { return client->done(); });
+    CHECK(client->status == 200 && world.agent.requests() > 1);
   });
 }
 
@@ -558,27 +582,28 @@
 int main(int, char** arguments) {
   using namespace topazweir::test;
   using topazweir::ServerState;
-  for (const auto state : {ServerState::draining, ServerState::gone}) play(aDialIsCalledBack, state, 0);
-  play(aDialIsCalledBack, ServerState::up, 7);  // replaced
-  play(whatWaitsBehindABufferIsCalledBack);
-  play(whatIsGivenUpIsNotSent);
-  play(aRepeatKeepsItsWindow);
-  play(aBrokenConnectionTellsWhatMayHaveRun);
-  for (const bool words : {false, true}) play(aRestingConnectionIsLookedAt, words);
-  play(lastWordsCount);
-  play(whoHasLeftIsNotServed);
-  play(floodsThatLeaveAreNotServed);
-  play(clientsAreHeardFirst);
-  play(aRequestThatCrossesAnEvictionIsServed);
-  play(aRequestThatCrossesTheShutdownIsNotTaken);
-  play(aYoungConnectionIsHeard);
-  play(halfRequestsEnd);
-  listsAreCutAsValues();
-  play(lastListsCount, "0\r\n\r\n", "the watch has ended");
-  play(lastListsCount, "zz\r\n", "malformed");
-  play(lastListsCount, "", "peer_closed");
-  for (const bool busy : {false, true}) play(halfAListIsNoLife, busy);
-  allIsAnsweredBeforeTheKill(arguments[1]);
-  theFirstListComesFirst(arguments[1]);
-  aSilentAgentHoldsUpNoStart(arguments[1]);
+  for (const auto state : {ServerState::draining, ServerState::gone})
+    play(pendingConnectIsCalledBack, state, 0);
+  play(pendingConnectIsCalledBack, ServerState::up, 7);  // the leaf has restarted
+  play(waitingPartsAreCalledBack);
+  play(cancelledPartsAreNotSent);
+  play(retryKeepsItsWindow);
+  play(brokenConnectionReportsWhatMayHaveRun);
+  for (const bool duplicateAnswer : {false, true}) play(closedIdleConnectionIsNotReused, duplicateAnswer);
+  play(finalAnswersCount);
+  play(disconnectedClientsAreNotServed);
+  play(disconnectedPipeliningClientIsNotServed);
+  play(clientEventsPrecedeTimers);
+  play(requestDuringEvictionIsServed);
+  play(requestDuringShutdownIsNotTaken);
+  play(newConnectionIsServedDuringShutdown);
+  play(incompleteRequestsGet408);
+  listsAreSplitAsJsonValues();
+  play(finalListsAreApplied, "0\r\n\r\n", "the watch has ended");
+  play(finalListsAreApplied, "zz\r\n", "malformed");
+  play(finalListsAreApplied, "", "peer_closed");
+  for (const bool busy : {false, true}) play(incompleteListIsNoSignOfLife, busy);
+  allIsAnsweredBeforeShutdownEnds(arguments[1]);
+  firstListPrecedesServing(arguments[1]);
+  unresponsiveAgentDoesNotBlockStart(arguments[1]);
 }
--- a/tests/operation_test.cpp
+++ b/tests/operation_test.cpp
@@ -1,5 +1,5 @@
-// The operators' calls and what processes of one aggregator tell each other: the pure parts, over random
-// histories, and the record's text under cuts and changes.
+// Tests the operator commands and the state that processes of one aggregator exchange, over randomised
+// command histories, and the record format under truncation and corruption.
 #include "operation/operation.hpp"
 
 #include <random>
@@ -13,17 +13,20 @@
 
 using namespace operation;
 
-constexpr Nanos kMs = 1'000'000, kSec = 1000 * kMs, kStart = 1'700'000'000 * kSec, kColdFor = 17 * kSec;
+constexpr Nanos kMs = 1'000'000;
+constexpr Nanos kSec = 1000 * kMs;
+constexpr Nanos kStart = 1'700'000'000 * kSec;  // Unix time
+constexpr Nanos kColdFor = 17 * kSec;
 
 Operation process(Nanos startedAt, std::int64_t pid = 1) { return {"n0", {startedAt, pid}, kColdFor}; }
 
-Answered say(Operation& to, const std::string& line, Nanos now, bool listed = true) {
+Answered execute(Operation& to, const std::string& line, Nanos now, bool listed = true) {
   const auto read = readCall(line);
   CHECK(std::holds_alternative<Call>(read));
   return to.call(std::get<Call>(read), listed, now);
 }
 
-void linesAreCallsOrNamedFaults() {
+void parsesCommandLines() {
   CHECK(std::get<Call>(readCall("  disable-server \t s-1\r")).instance == "s-1");
   CHECK(std::get<Call>(readCall("ready")).kind == CallKind::ready);
   for (const std::string line :
@@ -33,7 +36,7 @@
     CHECK(std::holds_alternative<std::string>(readCall(line)));
   CHECK(std::holds_alternative<std::string>(readCall("disable-server " + std::string(129, 'x'))));
   std::mt19937 random(3);
-  for (int i = 0; i < 20'000; ++i) {  // garbage is a fault, whatever it is
+  for (int i = 0; i < 20'000; ++i) {  // garbage is an error, or a command with its argument
     std::string line(random() % 40, ' ');
     for (char& c : line) c = static_cast<char>(random());
     const auto read = readCall(line);
@@ -41,91 +44,101 @@
   }
 }
 
-void callsAreIdempotent() {
+void commandsAreIdempotent() {
   auto one = process(kStart);
-  CHECK(!say(one, "ready", kStart).reply.yes);
+  CHECK(!execute(one, "ready", kStart).reply.yes);
   one.serves();
-  CHECK(say(one, "ready", kStart).reply.yes && one.takesClients(kStart));
-  CHECK(!say(one, "disable-server s-9", kStart, false).reply.yes);
-  CHECK(say(one, "disable-server s-1", kStart + 1).change.leafs.size() == 1);
-  const auto again = say(one, "disable-server s-1", kStart + 2);
+  CHECK(execute(one, "ready", kStart).reply.yes && one.takesClients(kStart));
+  CHECK(!execute(one, "disable-server s-9", kStart, false).reply.yes);
+  CHECK(execute(one, "disable-server s-1", kStart + 1).change.leafs.size() == 1);
+  const auto again = execute(one, "disable-server s-1", kStart + 2);
   CHECK(again.reply.yes && again.change.leafs.empty() && one.holds().out("s-1"));
-  // Gone from every list it can still be called back, and one call back answers two calls out.
-  CHECK(say(one, "enable-server s-1", kStart + 3, false).reply.yes && !one.holds().out("s-1"));
-  CHECK(say(one, "enable-server s-1", kStart + 4).reply.yes);
-  CHECK(say(one, "drain", kStart + 5).change.clients && !one.takesClients(kStart + 6));
-  CHECK(!say(one, "drain", kStart + 6).change.clients && say(one, "ready", kStart + 7).reply.yes);
-  CHECK(say(one, "resume", kStart + 8).change.clients && one.takesClients(kStart + 9));
-  CHECK(say(one, "resume", kStart + 9).reply.yes);
-  say(one, "drain", kStart + 10);
+  // A leaf that is no longer listed can still be put back, and one enable-server undoes two disable-servers.
+  CHECK(execute(one, "enable-server s-1", kStart + 3, false).reply.yes && !one.holds().out("s-1"));
+  CHECK(execute(one, "enable-server s-1", kStart + 4).reply.yes);
+  CHECK(execute(one, "drain", kStart + 5).change.clients && !one.takesClients(kStart + 6));
+  CHECK(!execute(one, "drain", kStart + 6).change.clients && execute(one, "ready", kStart + 7).reply.yes);
+  CHECK(execute(one, "resume", kStart + 8).change.clients && one.takesClients(kStart + 9));
+  CHECK(execute(one, "resume", kStart + 9).reply.yes);
+  execute(one, "drain", kStart + 10);
   one.ends();
-  CHECK(!say(one, "ready", kStart + 11).reply.yes && !say(one, "resume", kStart + 12).reply.yes);
+  CHECK(!execute(one, "ready", kStart + 11).reply.yes && !execute(one, "resume", kStart + 12).reply.yes);
 }
 
-// Calls reach either process in any order, and each hears of the other late: the later call for a leaf holds
-// at both in the end, and so does the later of drain and resume.
-void twoProcessesAgree(unsigned seed) {
+// Commands reach either process in any order, and each process learns of the other's late. In the end both
+// hold the latest command for each leaf and the latest of drain and resume.
+void twoProcessesConverge(unsigned seed) {
   std::mt19937 random(seed);
-  auto old = process(kStart, 1), young = process(kStart + 60 * kSec, 2);
-  old.serves(), young.serves();
+  auto older = process(kStart, 1);
+  auto younger = process(kStart + 60 * kSec, 2);
+  older.serves();
+  younger.serves();
   std::map<std::string, bool> out;
   bool drained = false;
   Nanos now = kStart + 61 * kSec;
   for (int i = 0; i < 60; ++i) {
     now += static_cast<Nanos>(random() % 3) * kMs + 1;
-    auto& to = random() % 2 == 0 ? old : young;
+    auto& to = random() % 2 == 0 ? older : younger;
     const std::string id = "s-" + std::to_string(random() % 4);
     const bool off = random() % 2 == 0;
     if (random() % 4 == 0) {
-      say(to, off ? "drain" : "resume", now), drained = off;
+      execute(to, off ? "drain" : "resume", now);
+      drained = off;
     } else {
-      say(to, (off ? "disable-server " : "enable-server ") + id, now), out[id] = off;
+      execute(to, (off ? "disable-server " : "enable-server ") + id, now);
+      out[id] = off;
     }
-    if (random() % 5 == 0) young.heard(old.record({}, now), now);
-    if (random() % 5 == 0) old.heard(young.record({}, now), now);
+    if (random() % 5 == 0) younger.heard(older.record({}, now), now);
+    if (random() % 5 == 0) older.heard(younger.record({}, now), now);
   }
-  const auto first = old.record({}, now), second = young.record({}, now);
-  young.heard(first, now), old.heard(second, now);
-  for (const auto& [id, off] : out) CHECK(old.holds().out(id) == off && young.holds().out(id) == off);
-  CHECK(old.drained() == drained && young.drained() == drained);
+  const auto first = older.record({}, now);
+  const auto second = younger.record({}, now);
+  younger.heard(first, now);
+  older.heard(second, now);
+  for (const auto& [id, off] : out) CHECK(older.holds().out(id) == off && younger.holds().out(id) == off);
+  CHECK(older.drained() == drained && younger.drained() == drained);
 }
 
-void theYoungerOneFollows() {
-  auto old = process(kStart, 1);
-  // It follows nobody: it waits for no connection, but for the list, and for that only so long.
-  CHECK(!old.mayServe({}, kStart) && !old.mayServe({false, true}, kStart + Operation::kLongestStart - 1));
-  CHECK(old.mayServe({true, false}, kStart) && old.mayServe({}, kStart + Operation::kLongestStart));
-  old.serves();
+void youngerProcessTakesOver() {
+  auto older = process(kStart, 1);
+  // Without another process it waits for the list, up to kLongestStart, but not for connections.
+  CHECK(!older.mayServe({}, kStart) && !older.mayServe({false, true}, kStart + Operation::kLongestStart - 1));
+  CHECK(older.mayServe({true, false}, kStart) && older.mayServe({}, kStart + Operation::kLongestStart));
+  older.serves();
   const Nanos now = kStart + 100 * kSec;
-  auto young = process(now, 2);
-  young.heard(old.record("[list]", now), now);
-  CHECK(young.accompanied(now) && !young.followed(now));
-  CHECK(!young.mayServe({}, now + kSec) && !young.mayServe({true, false}, now + kSec));
-  CHECK(young.mayServe({true, true}, now + kSec) && young.mayServe({}, now + Operation::kLongestStart));
-  old.heard(young.record({}, now), now);
-  CHECK(!old.followed(now));  // it takes no clients yet
-  young.serves();
-  old.heard(young.record({}, now), now);
-  old.ends();
-  CHECK(old.followed(now) && old.takesClients(now));  // the aggregator does
-  CHECK(!old.followed(now + Operation::kAlive + 1) &&
-        !old.takesClients(now + Operation::kAlive + 1));  // it died
-  auto foreign = young.record({}, now);
-  foreign.aggregator = "n1", foreign.drained = {true, now + 1};
-  CHECK(!old.heard(foreign, now).clients && !old.drained());
+  auto younger = process(now, 2);
+  younger.heard(older.record("[list]", now), now);
+  CHECK(younger.accompanied(now) && !younger.followed(now));
+  CHECK(!younger.mayServe({}, now + kSec) && !younger.mayServe({true, false}, now + kSec));
+  CHECK(younger.mayServe({true, true}, now + kSec) && younger.mayServe({}, now + Operation::kLongestStart));
+  older.heard(younger.record({}, now), now);
+  CHECK(!older.followed(now));  // it does not accept clients yet
+  younger.serves();
+  older.heard(younger.record({}, now), now);
+  older.ends();
+  CHECK(older.followed(now) && older.takesClients(now));  // the younger process does
+  CHECK(!older.followed(now + Operation::kAlive + 1) &&
+        !older.takesClients(now + Operation::kAlive + 1));  // its records have stopped: it counts as dead
+  auto foreign = younger.record({}, now);
+  foreign.aggregator = "n1";
+  foreign.drained = {true, now + 1};
+  CHECK(!older.heard(foreign, now).clients && !older.drained());
 }
 
-void sendsToColdLeafsAreHandedOnOnce() {
-  auto old = process(kStart, 1), young = process(kStart + kSec, 2);
+void coldSendsAreReportedOnce() {
+  auto older = process(kStart, 1);
+  auto younger = process(kStart + kSec, 2);
   const Nanos now = kStart + 30 * kSec;
-  old.sent("warm", now - kColdFor, now), old.sent("old", 0, now), old.sent("cold", now - kSec, now);
-  old.sent("cold", now - kSec, now + 1);
-  const auto told = young.heard(old.record({}, now + 1), now + 1).coldSends;
-  CHECK(told.size() == 2 && told[0].instance == "cold" && told[1].at == now + 1);
-  CHECK(young.heard(old.record({}, now + 2), now + 2).coldSends.empty());
-  CHECK(old.record({}, now + 2 + kColdFor).coldSends.empty());  // it forgets
-  for (int i = 0; i < 1000; ++i) old.sent("cold", now, now + i);
-  CHECK(old.record({}, now + 1000).coldSends.at("cold").size() == ColdSends::kMost);
+  older.sent("warm", now - kColdFor, now);
+  older.sent("old", 0, now);
+  older.sent("cold", now - kSec, now);
+  older.sent("cold", now - kSec, now + 1);
+  const auto sends = younger.heard(older.record({}, now + 1), now + 1).coldSends;
+  CHECK(sends.size() == 2 && sends[0].instance == "cold" && sends[1].at == now + 1);
+  CHECK(younger.heard(older.record({}, now + 2), now + 2).coldSends.empty());
+  CHECK(older.record({}, now + 2 + kColdFor).coldSends.empty());  // sends older than kColdFor are dropped
+  for (int i = 0; i < 1000; ++i) older.sent("cold", now, now + i);
+  CHECK(older.record({}, now + 1000).coldSends.at("cold").size() == ColdSends::kMost);
 }
 
 void holdsAreBounded() {
@@ -136,14 +149,16 @@
   CHECK(holds.set("more", true, kStart + Holds::kKept + 2) && holds.all().size() == 1);
 }
 
-// Whatever lists say, the operators' word holds; a leaf that comes back is cold, by its start where that is
-// told.
-void listsDoNotBringBackWhatIsOut() {
+// A leaf taken out by operators stays draining whatever server lists say. When it is put back it counts as
+// cold: from its announced start time if it has restarted, else from the time it was put back.
+void holdsOverrideServerLists() {
   Holds holds;
   platform::Directory directory(&holds);
   const auto list = [&](ServerState state, Nanos startedAt, bool full) {
     platform::NodeEntry entry;
-    entry.instance = "s-1", entry.state = state, entry.startedAt = startedAt;
+    entry.instance = "s-1";
+    entry.state = state;
+    entry.startedAt = startedAt;
     return directory.apply({1, full, false, {entry}}, full ? ListNews::Scope::full : ListNews::Scope::changes)
         .entries.at(0);
   };
@@ -156,17 +171,19 @@
   CHECK(list(ServerState::up, 0, true).state == ServerState::draining);
   std::string why;
   const auto handed = platform::readNodeList(directory.text(7, {}), {}, why);
-  CHECK(handed && handed->entries.at(0).state == ServerState::up);  // as told, not as held
+  CHECK(handed &&
+        handed->entries.at(0).state == ServerState::up);  // as announced, without the operators' hold
   holds.set("s-1", false, kStart + 5 * kSec);
   const auto back = directory.moved({"s-1"}).entries.at(0);
   CHECK(back.state == ServerState::up && back.startedAt == kStart + 5 * kSec);
   CHECK(list(ServerState::up, kStart + 3 * kSec, false).startedAt == kStart + 3 * kSec);
 }
 
-void recordsSurviveAsTextOrNotAtAll() {
+void corruptedRecordsAreRejected() {
   auto one = process(kStart, 77);
   one.serves();
-  say(one, "disable-server s-1", kStart + 1), say(one, "drain", kStart + 2);
+  execute(one, "disable-server s-1", kStart + 1);
+  execute(one, "drain", kStart + 2);
   one.sent("s-2", kStart, kStart + 3);
   const std::string text = ops::writeRecord(one.record(R"({"a":"b\n"})", kStart + 4));
   const auto whole = ops::readRecord(text);
@@ -180,7 +197,8 @@
   for (int i = 0; i < 5000; ++i) {
     auto altered = text;
     altered[random() % altered.size()] ^= static_cast<char>(1 + random() % 127);
-    const auto read = ops::readRecord(altered);  // at worst another letter's case in the checksum
+    const auto read = ops::readRecord(
+        altered);  // readable only if the change kept the meaning: the case of a checksum digit
     CHECK(std::holds_alternative<std::string>(read) || ops::writeRecord(std::get<Record>(read)) == text);
   }
   const auto newer = ops::readRecord("topazweir-state 2 0 0\n");
@@ -192,12 +210,12 @@
 
 int main() {
   using namespace topazweir::test;
-  linesAreCallsOrNamedFaults();
-  callsAreIdempotent();
-  for (unsigned seed = 1; seed <= 500; ++seed) twoProcessesAgree(seed);
-  theYoungerOneFollows();
-  sendsToColdLeafsAreHandedOnOnce();
+  parsesCommandLines();
+  commandsAreIdempotent();
+  for (unsigned seed = 1; seed <= 500; ++seed) twoProcessesConverge(seed);
+  youngerProcessTakesOver();
+  coldSendsAreReportedOnce();
   holdsAreBounded();
-  listsDoNotBringBackWhatIsOut();
-  recordsSurviveAsTextOrNotAtAll();
+  holdsOverrideServerLists();
+  corruptedRecordsAreRejected();
 }
--- a/tests/operator_test.cpp
+++ b/tests/operator_test.cpp
@@ -1,5 +1,5 @@
-// The operator file: its syntax, what is wrong with it in words that name place and key, and the log's two
-// forms.
+// Tests the operator configuration file: its syntax, error messages that name position and key, and the two
+// log formats.
 #include "check.hpp"
 #include "config/operator_config.hpp"
 #include "cuts.hpp"
@@ -26,7 +26,7 @@
   return "null";
 }
 
-std::string faultOf(const std::string& text) {
+std::string errorOf(const std::string& text) {
   try {
     readOperator(text, "f.hcl", standalone(1));
   } catch (const ConfigError& error) {
@@ -76,15 +76,16 @@
       {"b {}\nb = 1", "key b: given twice"},
       {"a = 12x", "1:5: expected a text"},
       {"a = " + std::string(100, '['), "nested too deeply"}};
-  for (const auto& [text, words] : faults) {
-    std::string said;
+  for (const auto& [text, expected] : faults) {
+    std::string message;
     try {
       readHcl(text, "f");
     } catch (const ConfigError& error) {
-      said = error.what();
+      message = error.what();
     }
-    if (said.find(words) == std::string::npos) std::fprintf(stderr, "%s: %s\n", text.c_str(), said.c_str());
-    CHECK(said.rfind("f:", 0) == 0 && said.find(words) != std::string::npos);
+    if (message.find(expected) == std::string::npos)
+      std::fprintf(stderr, "%s: %s\n", text.c_str(), message.c_str());
+    CHECK(message.rfind("f:", 0) == 0 && message.find(expected) != std::string::npos);
   }
   survivesGarbage(kAll, [](const std::vector<std::string>& pieces) {
     std::string all;
@@ -111,7 +112,7 @@
 }
 )";
 
-void meaning() {
+void settings() {
   const auto good = readOperator("log {\n format = \"json\"\n}\n" + kGrpc, "f.hcl", standalone(1));
   CHECK(good.log.format == telemetry::Format::json && good.grpc && !good.features && !good.snmp);
   const auto& pool = good.grpc->pools[0];
@@ -148,15 +149,15 @@
       {"snmp {\n listen = \"10.0.0.1:161\"\n}\n", "f.hcl:2:11: key snmp.listen: not a loopback address"},
       {"features {\n listen = \"127.0.0.1:0\"\n}\n", "key features.collections: missing or empty"},
   };
-  for (const auto& [text, words] : faults) {
-    const auto said = faultOf(text);
-    if (said.find(words) == std::string::npos)
-      std::fprintf(stderr, "%s\n  %s\n", words.c_str(), said.c_str());
-    CHECK(said.find(words) != std::string::npos);
+  for (const auto& [text, expected] : faults) {
+    const auto message = errorOf(text);
+    if (message.find(expected) == std::string::npos)
+      std::fprintf(stderr, "%s\n  %s\n", expected.c_str(), message.c_str());
+    CHECK(message.find(expected) != std::string::npos);
   }
 }
 
-void logForms() {
+void logFormats() {
   using namespace telemetry;
   const LogOptions text, json{Format::json, Level::info, false}, timed{Format::text, Level::info, true};
   CHECK(format(text, "grpc.call_failed", "call=g1 status=UNAVAILABLE", 0) ==
@@ -174,6 +175,6 @@
 
 int main() {
   topazweir::test::syntax();
-  topazweir::test::meaning();
-  topazweir::test::logForms();
+  topazweir::test::settings();
+  topazweir::test::logFormats();
 }
--- a/tests/scratch.hpp
+++ b/tests/scratch.hpp
@@ -1,4 +1,4 @@
-// A file of a test's own, which goes with the test however that ends.
+// Temporary files of a test, deleted when the test process exits.
 #pragma once
 
 #include <unistd.h>
@@ -10,16 +10,16 @@
 
 namespace topazweir::test {
 
-// Below the system's folder for such files. Removed at exit, a failed CHECK's included.
+// A path unique to this process in $TMPDIR, or /tmp. The file is deleted at exit, also after a failed CHECK.
 inline std::string scratchFile(const std::string& name) {
-  static std::vector<std::string> made;
-  if (made.empty())
+  static std::vector<std::string> paths;
+  if (paths.empty())
     std::atexit([] {
-      for (const auto& path : made) ::unlink(path.c_str());
+      for (const auto& path : paths) ::unlink(path.c_str());
     });
   const char* folder = std::getenv("TMPDIR");
-  made.push_back(std::string(folder ? folder : "/tmp") + "/" + name + "." + std::to_string(::getpid()));
-  return made.back();
+  paths.push_back(std::string(folder ? folder : "/tmp") + "/" + name + "." + std::to_string(::getpid()));
+  return paths.back();
 }
 
 }  // namespace topazweir::test
--- a/tests/seeds.hpp
+++ b/tests/seeds.hpp
@@ -1,5 +1,5 @@
-// The seeds that a test's drawn schedules are played with: CI plays the usual ones, a campaign names its own
-// first and last on the command line.
+// The range of seeds for a test's randomised schedules. CI uses the default range; a longer campaign gives
+// the first and the last seed on the command line.
 #pragma once
 
 #include <cstdint>
@@ -7,12 +7,14 @@
 
 namespace topazweir::test {
 
+// Both bounds are inclusive.
 struct Seeds {
-  Seeds(int count, char** words, std::uint64_t usualLast) : last(usualLast) {
-    if (count > 1) first = std::strtoull(words[1], nullptr, 10);
-    if (count > 2) last = std::strtoull(words[2], nullptr, 10);
+  Seeds(int argc, char** argv, std::uint64_t defaultLast) : last(defaultLast) {
+    if (argc > 1) first = std::strtoull(argv[1], nullptr, 10);
+    if (argc > 2) last = std::strtoull(argv[2], nullptr, 10);
   }
-  std::uint64_t first = 1, last;
+  std::uint64_t first = 1;
+  std::uint64_t last;
 };
 
 }  // namespace topazweir::test
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -1,5 +1,5 @@
-// Real processes of one aggregator: upgrades under load, kills at each step of one, leafs held out across it,
-// drains, and callers that hold the operators' address.
+// Tests real processes of one aggregator: upgrades under load, kills during an upgrade, leafs that stay out
+// of service across it, drains, and misbehaving clients of the operator port.
 #include <csignal>
 
 #include "processes/aggregator.hpp"
@@ -9,133 +9,141 @@
 
 constexpr Nanos kMs = 1'000'000;
 
-// Two upgrades in a row under load: every request has its whole answer, and a leaf that was taken out at the
-// first process gets nothing from the last one until it is called back, and then is in use again.
-void upgradesLoseNothing(AggregatorWorld& w) {
-  w.start();
-  w.untilReady(0);
-  w.load(4 * kMs);
-  w.runFor(200 * kMs);
-  const auto most = std::max_element(w.speakers.begin(), w.speakers.end(),
+// Two upgrades in a row under load. Every request gets a whole answer. A leaf taken out of service at the
+// first process gets no parts from the last one until it is put back; then it is used again.
+void upgradesLoseNoRequests(AggregatorWorld& world) {
+  world.start();
+  world.untilReady(0);
+  world.load(4 * kMs);
+  world.runFor(200 * kMs);
+  const auto most = std::max_element(world.speakers.begin(), world.speakers.end(),
                                      [](const auto& a, const auto& b) { return a->parts < b->parts; });
   const auto& leaf = **most;
-  const std::string id = "s-" + std::to_string(most - w.speakers.begin());
-  CHECK(w.says(0, "disable-server " + id, "ACK") && w.says(0, "disable-server s-x", "NAK"));
-  w.runFor(600 * kMs);
+  const std::string id = "s-" + std::to_string(most - world.speakers.begin());
+  CHECK(world.says(0, "disable-server " + id, "ACK") && world.says(0, "disable-server s-x", "NAK"));
+  world.runFor(600 * kMs);
   const int before = leaf.parts;
   CHECK(before > 0);
   for (std::size_t next = 1; next <= 2; ++next) {
-    w.start();
-    w.untilListens(next);
-    for (const auto process : {next - 1, next}) w.processes[process]->signal(SIGHUP);  // in the midst of it
-    w.untilReady(next);
+    world.start();
+    world.untilListens(next);
     for (const auto process : {next - 1, next})
-      w.until("the reread", [&] { return w.processes[process]->said("config.reread "); });
-    CHECK(w.upSays() == 200);
-    w.processes[next - 1]->terminate();
-    w.until("the old process's end", [&] { return w.processes[next - 1]->over(); });
-    CHECK(w.processes[next - 1]->exited() == 0);
+      world.processes[process]->signal(SIGHUP);  // reread during the upgrade
+    world.untilReady(next);
+    for (const auto process : {next - 1, next})
+      world.until("the configuration reread",
+                  [&] { return world.processes[process]->said("config.reread "); });
+    CHECK(world.upSays() == 200);
+    world.processes[next - 1]->terminate();
+    world.until("the end of the old process", [&] { return world.processes[next - 1]->over(); });
+    CHECK(world.processes[next - 1]->exited() == 0);
   }
   CHECK(leaf.parts == before);
-  CHECK(w.says(2, "enable-server " + id, "ACK"));
-  CHECK(w.processes[2]->said("operation.server " + id + " in service"));
-  w.until("the use of the leaf called back", [&] { return leaf.parts > before; });
-  w.stopLoad();
-  CHECK(w.settle() == 0 && w.asked() > 200);
+  CHECK(world.says(2, "enable-server " + id, "ACK"));
+  CHECK(world.processes[2]->said("operation.server " + id + " in service"));
+  world.until("parts for the leaf that was put back", [&] { return leaf.parts > before; });
+  world.stopLoad();
+  CHECK(world.settle() == 0 && world.asked() > 200);
 }
 
-// The new process is killed before its yes, torn records lie about, and the old one is killed outright after
-// a later one's yes: what was told to any of them holds, and the aggregator serves on.
-void killsAtAnyMoment(AggregatorWorld& w) {
-  w.start();
-  w.untilReady(0);
-  CHECK(w.says(0, "disable-server s-0", "ACK"));
-  w.start().kill();
-  w.until("the young process's end", [&] { return w.processes[1]->over(); });
-  std::ofstream(w.temporary() + "/topazweir.1.1.state") << "topazweir-state 1 400 00ff\n{\"aggregator";
-  std::ofstream(w.temporary() + "/topazweir.2.2.state") << "topazweir-state 9 0 0\n";
-  std::ofstream(w.temporary() + "/topazweir.3.3.state") << std::string(100'000, '\0');
-  w.load(5 * kMs);
-  w.start();
-  w.untilReady(2);
-  w.until("a line about the torn record", [&] { return w.processes[2]->said("state.unusable"); });
-  w.stopLoad();
-  CHECK(w.settle() == 0);
-  w.processes[0]->kill();
-  w.until("the old process's end", [&] { return w.processes[0]->over(); });
-  const int before = w.speakers[0]->parts;
-  w.load(5 * kMs);
-  w.runFor(300 * kMs);
-  w.stopLoad();
-  CHECK(w.settle() == 0 && w.speakers[0]->parts == before);  // still out of service
-  CHECK(w.says(2, "enable-server s-0", "ACK"));
+// The new process is killed before it is ready, the state folder holds corrupted records, and the old process
+// is killed after a later one is ready. Commands given to any of them stay in force, and the aggregator keeps
+// serving.
+void killsDuringUpgrade(AggregatorWorld& world) {
+  world.start();
+  world.untilReady(0);
+  CHECK(world.says(0, "disable-server s-0", "ACK"));
+  world.start().kill();
+  world.until("the end of the new process", [&] { return world.processes[1]->over(); });
+  std::ofstream(world.temporary() + "/topazweir.1.1.state") << "topazweir-state 1 400 00ff\n{\"aggregator";
+  std::ofstream(world.temporary() + "/topazweir.2.2.state") << "topazweir-state 9 0 0\n";
+  std::ofstream(world.temporary() + "/topazweir.3.3.state") << std::string(100'000, '\0');
+  world.load(5 * kMs);
+  world.start();
+  world.untilReady(2);
+  world.until("a log line about the corrupted record",
+              [&] { return world.processes[2]->said("state.unusable"); });
+  world.stopLoad();
+  CHECK(world.settle() == 0);
+  world.processes[0]->kill();
+  world.until("the end of the old process", [&] { return world.processes[0]->over(); });
+  const int before = world.speakers[0]->parts;
+  world.load(5 * kMs);
+  world.runFor(300 * kMs);
+  world.stopLoad();
+  CHECK(world.settle() == 0 && world.speakers[0]->parts == before);  // still out of service
+  CHECK(world.says(2, "enable-server s-0", "ACK"));
 }
 
-// Sent away, clients find no kept connection after a while, and a process that follows during the drain sends
-// them away as well; after the call back both are as before, with nothing restarted.
-void drainsPassOn(AggregatorWorld& w) {
-  w.start();
-  w.untilReady(0);
+// A drain closes the clients' idle connections after a while, and a process started during the drain is
+// drained too. After resume both accept clients again without a restart.
+void drainExtendsToNewProcess(AggregatorWorld& world) {
+  world.start();
+  world.untilReady(0);
   Poco::Net::StreamSocket idle;
-  idle.connect(Poco::Net::SocketAddress(w.address()));
-  CHECK(w.says(0, "drain", "ACK") && w.upSays() == 503 && w.says(0, "drain", "ACK"));
-  w.load(20 * kMs);  // who comes all the same is served
-  w.until("the idle connection's end", [&] {
+  idle.connect(Poco::Net::SocketAddress(world.address()));
+  CHECK(world.says(0, "drain", "ACK") && world.upSays() == 503 && world.says(0, "drain", "ACK"));
+  world.load(20 * kMs);  // clients that connect nevertheless are served
+  world.until("the end of the idle connection", [&] {
     char byte = 0;
     return ::recv(idle.impl()->sockfd(), &byte, 1, MSG_DONTWAIT) == 0;
   });
-  w.start();
-  w.untilReady(1);
-  CHECK(w.upSays() == 503);
-  CHECK(w.says(1, "resume", "ACK"));
-  int inARow = 0;  // both processes answer, and the other one hears of the call a little later
-  for (int i = 0; i < 400 && inARow < 8; ++i, w.runFor(20 * kMs)) inARow = w.upSays() == 200 ? inARow + 1 : 0;
+  world.start();
+  world.untilReady(1);
+  CHECK(world.upSays() == 503);
+  CHECK(world.says(1, "resume", "ACK"));
+  int inARow = 0;  // both processes answer, and the other one learns of the command a little later
+  for (int i = 0; i < 400 && inARow < 8; ++i, world.runFor(20 * kMs))
+    inARow = world.upSays() == 200 ? inARow + 1 : 0;
   CHECK(inARow == 8);
-  w.stopLoad();
-  CHECK(w.settle() == 0);
+  world.stopLoad();
+  CHECK(world.settle() == 0);
 }
 
-// Three hundred callers who say nothing, half a line, or a line without end do not keep a call from its
-// answer.
-void rudeCallersHoldUpNobody(AggregatorWorld& w) {
-  w.start();
-  w.untilReady(0);
-  std::vector<Poco::Net::StreamSocket> rude(300);
-  for (std::size_t i = 0; i < rude.size(); ++i) {
-    rude[i].connect(Poco::Net::SocketAddress(w.ops[0]));
-    const std::string said = i % 3 == 0 ? "" : i % 3 == 1 ? "disable-ser" : std::string(4000, 'x');
-    if (!said.empty()) rude[i].sendBytes(said.data(), static_cast<int>(said.size()));
+// 300 connections to the operator port that send nothing, half a line, or a line without end do not keep a
+// command from being answered.
+void misbehavingOperatorsDoNotBlockCommands(AggregatorWorld& world) {
+  world.start();
+  world.untilReady(0);
+  std::vector<Poco::Net::StreamSocket> callers(300);
+  for (std::size_t i = 0; i < callers.size(); ++i) {
+    callers[i].connect(Poco::Net::SocketAddress(world.ops[0]));
+    const std::string bytes = i % 3 == 0 ? "" : i % 3 == 1 ? "disable-ser" : std::string(4000, 'x');
+    if (!bytes.empty()) callers[i].sendBytes(bytes.data(), static_cast<int>(bytes.size()));
   }
-  std::vector<Poco::Net::StreamSocket> idle(300);  // and the clients' address is as full as it gets
-  for (auto& socket : idle) socket.connectNB(Poco::Net::SocketAddress(w.address()));
-  for (int i = 0; i < 5; ++i) CHECK(w.says(0, "ready", "ACK"));
-  CHECK(w.processes[0]->openDescriptors() <= 256);
-  CHECK(!w.processes[0]->over());
+  std::vector<Poco::Net::StreamSocket> idle(300);  // the client port is at its connection limit too
+  for (auto& socket : idle) socket.connectNB(Poco::Net::SocketAddress(world.address()));
+  for (int i = 0; i < 5; ++i) CHECK(world.says(0, "ready", "ACK"));
+  CHECK(world.processes[0]->openDescriptors() <= 256);
+  CHECK(!world.processes[0]->over());
 }
 
-// As many clients as there can be, all through an upgrade: both processes together come within the limit and
-// stay there, and the operators are answered. The last leaf is taken out: the log names the group.
-void limitsHoldForBoth(AggregatorWorld& w) {
-  w.start();
-  w.untilReady(0);
+// The maximum of client connections during an upgrade: both processes together get within the descriptor
+// limit and stay there, and operator commands are answered. When the last leaf is taken out, the log names
+// the shard.
+void descriptorLimitHoldsForBothProcesses(AggregatorWorld& world) {
+  world.start();
+  world.untilReady(0);
   std::vector<Poco::Net::StreamSocket> idle(400);
-  for (auto& socket : idle) socket.connectNB(Poco::Net::SocketAddress(w.address()));
-  w.until("a full house", [&] { return w.processes[0]->openDescriptors() > 150; });
-  w.start();
-  w.until("the new process's yes", [&] { return w.processes[1]->said("operation.serving"); });
-  // The old one hears of the new one within 0.1 s of its own time, and gives up what is over its half then.
-  w.until("both within the limit",
-          [&] { return w.processes[0]->openDescriptors() + w.processes[1]->openDescriptors() <= 256; });
-  for (int i = 0; i < 20; ++i) CHECK(w.says(1, "ready", "ACK"));
-  CHECK(w.says(1, "disable-server s-0", "ACK"));
-  CHECK(w.processes[1]->said("operation.shards_without_holder 1 of 1: 0"));
-  CHECK(w.says(1, "enable-server s-0", "ACK"));
-  CHECK(w.processes[1]->said("operation.shards_without_holder 0 of 1"));
+  for (auto& socket : idle) socket.connectNB(Poco::Net::SocketAddress(world.address()));
+  world.until("the connections of the clients", [&] { return world.processes[0]->openDescriptors() > 150; });
+  world.start();
+  world.until("readiness of the new process", [&] { return world.processes[1]->said("operation.serving"); });
+  // The old process learns of the new one within 0.1 s and then closes the connections beyond its half.
+  world.until("both processes within the descriptor limit", [&] {
+    return world.processes[0]->openDescriptors() + world.processes[1]->openDescriptors() <= 256;
+  });
+  for (int i = 0; i < 20; ++i) CHECK(world.says(1, "ready", "ACK"));
+  CHECK(world.says(1, "disable-server s-0", "ACK"));
+  CHECK(world.processes[1]->said("operation.shards_without_holder 1 of 1: 0"));
+  CHECK(world.says(1, "enable-server s-0", "ACK"));
+  CHECK(world.processes[1]->said("operation.shards_without_holder 0 of 1"));
 }
 
-// What is no listening socket is a wrong use that names the key.
-void aWrongDescriptorIsNamed(const char* path) {
-  const std::string folder = scratchFolder("descriptor"), config = folder + "/config.json";
+// A NODE_SOCKET_FD that is no listening socket is a usage error that names the key.
+void invalidSocketDescriptorIsReported(const char* path) {
+  const std::string folder = scratchFolder("descriptor");
+  const std::string config = folder + "/config.json";
   std::ofstream(config) << R"({"listen":"127.0.0.1:1","discovery":"127.0.0.1:1","settings":{"familyInfo":)"
                         << R"({"slabs":1},"profiles":[{"name":"s","aimNs":1,"deadlineNs":2}]}})";
   for (const std::string value : {"3", "x", "-1", "0"}) {
@@ -145,7 +153,7 @@
     plan.set = {{"NODE_CONFIG", config}, {"NODE_SOCKET_FD", value}, {"NODE_OPS", std::nullopt}};
     Process process(plan);
     Stage stage;
-    stage.play([&] { stage.until("the refusal", [&] { return process.over(); }); });
+    stage.play([&] { stage.until("the usage error", [&] { return process.over(); }); });
     CHECK(process.exited() == 2 && process.said("key NODE_SOCKET_FD: "));
   }
 }
@@ -158,12 +166,12 @@
 }  // namespace
 }  // namespace topazweir::test
 
-int main(int, char** words) {
+int main(int, char** argv) {
   using namespace topazweir::test;
-  play(words[1], "upgrade", 3, upgradesLoseNothing);
-  play(words[1], "kills", 2, killsAtAnyMoment);
-  play(words[1], "drains", 1, drainsPassOn);
-  play(words[1], "rude", 1, rudeCallersHoldUpNobody);
-  play(words[1], "limits", 1, limitsHoldForBoth);
-  aWrongDescriptorIsNamed(words[1]);
+  play(argv[1], "upgrade", 3, upgradesLoseNoRequests);
+  play(argv[1], "kills", 2, killsDuringUpgrade);
+  play(argv[1], "drains", 1, drainExtendsToNewProcess);
+  play(argv[1], "rude", 1, misbehavingOperatorsDoNotBlockCommands);
+  play(argv[1], "limits", 1, descriptorLimitHoldsForBothProcesses);
+  invalidSocketDescriptorIsReported(argv[1]);
 }
