--- a/src/broker/take_in.cpp
+++ b/src/broker/take_in.cpp
@@ -15,11 +15,10 @@
   const auto below = [](int value, std::size_t limit) {
     return value >= 0 && static_cast<std::size_t>(value) < limit;
   };
-  if (r.id.empty() || r.id.size() > kMaxIdChars)
-    return "the request id is empty or longer than 128 characters";
+  if (r.id.empty() || r.id.size() > kMaxIdChars) return "the request's id is empty or too long";
   for (const char c : r.id)  // the id is sent in space-separated lines
-    if (c <= ' ' || c > '~') return "the request id contains a space or an unprintable character";
-  if (open_.hasId(r.id)) return "a request with this id is already open";
+    if (c <= ' ' || c > '~') return "the request's id holds a space or an unprintable character";
+  if (open_.hasId(r.id)) return "a request with this id is open";
   if (!below(r.queryClass, terms_.settings.classes.size())) return "unknown class";
   if (!terms_.contracts.empty() && !below(r.tenant, terms_.contracts.size())) return "unknown tenant";
   if (r.timeLeft <= 0 || r.timeLeft > terms_.longestDeadline) return "the deadline is out of range";
@@ -28,9 +27,8 @@
   double weights = 0;
   for (const auto& part : r.parts) {
     if (!below(part.shard, static_cast<std::size_t>(terms_.settings.shards))) return "unknown shard";
-    if (!shards.insert(part.shard).second) return "a shard occurs twice";
-    if (!std::isfinite(part.weight) || part.weight < 0 || part.weight > 1)
-      return "the share of a part is not between 0 and 1";
+    if (!shards.insert(part.shard).second) return "a shard is named twice";
+    if (!std::isfinite(part.weight) || part.weight < 0 || part.weight > 1) return "a share is out of range";
     weights += part.weight;
   }
   // Otherwise the delivered weight could not tell whether an answer is whole.
--- a/src/calls/call.cpp
+++ b/src/calls/call.cpp
@@ -86,7 +86,7 @@
   out.counted = counted;
   if (overdue && !decided_) {
     out.code = Code::deadlineExceeded;
-    out.trailers = writeStatus(out.code, "the deadline of the call has passed", std::nullopt);
+    out.trailers = writeStatus(out.code, "the time for the call has run out", std::nullopt);
   } else if (last_ && (committed_ || counted != Class::refused || last_->fromBackend)) {
     out = *last_;
     out.counted = counted;
@@ -95,7 +95,7 @@
       out.trailers.push_back(writePushback(retryAfter));
   } else if (counted == Class::refused) {
     out.code = Code::unavailable;
-    out.trailers = writeStatus(out.code, "no server can accept the call now; a retry is safe",
+    out.trailers = writeStatus(out.code, "no server can take the call now; asking again is harmless",
                                retryAfter > 0 ? std::optional(retryAfter) : std::nullopt);
   } else {
     out.code = Code::unknown;
--- a/src/calls/metadata.cpp
+++ b/src/calls/metadata.cpp
@@ -49,14 +49,13 @@
 
 std::optional<Refusal> faultOf(const Fields& request) {
   if (!isGrpc(request)) return Refusal{415, Code::internal, "the content type is not application/grpc"};
-  if (find(request, ":method") != "POST") return Refusal{405, Code::internal, "the method is not POST"};
+  if (find(request, ":method") != "POST") return Refusal{405, Code::internal, "calls are sent as POST"};
   if (!readPath(find(request, ":path").value_or("")))
     return Refusal{200, Code::unimplemented, "the path is not /Service/Method"};
   if (const auto timeout = find(request, kTimeoutField); timeout && !readTimeout(*timeout))
     return Refusal{200, Code::internal, "grpc-timeout is malformed"};
   if (const auto te = find(request, "te"); !te || *te != "trailers")
-    return Refusal{200, Code::internal,
-                   "the header field te: trailers is missing; a proxy may drop trailers"};
+    return Refusal{200, Code::internal, "te: trailers is missing: some hop drops trailers"};
   return std::nullopt;
 }
 
--- a/src/calls/status.cpp
+++ b/src/calls/status.cpp
@@ -114,19 +114,17 @@
       return {code, "the backend reset the stream", refused ? Outcome::rejected : Outcome::error, !refused};
     }
     case Ending::aboveGoaway:  // a graceful shutdown: rejected, not a failure
-      return {Code::unavailable, "the backend is closing the connection", Outcome::rejected, false};
+      return {Code::unavailable, "the backend is going away", Outcome::rejected, false};
     case Ending::lostBefore:
       return {Code::unavailable, "no connection to the backend", Outcome::connectFailed, false};
     case Ending::lostAfter:
       return {Code::unavailable, "the connection to the backend broke", Outcome::reset, true};
     case Ending::silent:
-      return {Code::unavailable, "the backend did not answer within the attempt's time-out",
-              Outcome::timedOut, true};
+      return {Code::unavailable, "the backend did not answer in the attempt's time", Outcome::timedOut, true};
     case Ending::noStream:
-      return {Code::unavailable, "no stream to the backend is available", Outcome::notSent, false};
+      return {Code::unavailable, "no stream to the backend is free", Outcome::notSent, false};
     case Ending::tooLarge:
-      return {Code::resourceExhausted, "a message or the header fields exceed the size limit", Outcome::error,
-              true};
+      return {Code::resourceExhausted, "larger than the limit", Outcome::error, true};
   }
   return {};
 }
