--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -9,14 +9,14 @@
 
 namespace {
 
-bool isToken(char c) {
+bool isTokenCharacter(char c) {
   const bool alnum = (c >= '0' && c <= '9') || (c >= 'A' && c <= 'Z') || (c >= 'a' && c <= 'z');
   return alnum || std::string_view("!#$%&'*+-.^_`|~").find(c) != std::string_view::npos;
 }
-bool isTokens(std::string_view text) {
-  return !text.empty() && std::all_of(text.begin(), text.end(), isToken);
+bool isToken(std::string_view text) {
+  return !text.empty() && std::all_of(text.begin(), text.end(), isTokenCharacter);
 }
-char lower(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c; }
+char toLower(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c; }
 
 std::string_view trim(std::string_view text) {
   const auto blank = [](char c) { return c == ' ' || c == '\t'; };
@@ -25,8 +25,8 @@
   return text;
 }
 
-// Only digits of the base, all of them: no sign, no blank, nothing left over.
-std::optional<std::size_t> number(std::string_view text, int base) {
+// Parses digits of the base. The whole text must be digits: no sign, no blanks, no trailing characters.
+std::optional<std::size_t> parseNumber(std::string_view text, int base) {
   std::size_t value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value, base);
   if (text.empty() || text.front() == '-' || error != std::errc{} || end != text.data() + text.size())
@@ -34,18 +34,21 @@
   return value;
 }
 
-constexpr std::size_t kChunkLine = 256;
+// Empty lines skipped before a request: four of CR LF.
+constexpr std::size_t kMaxEmptyLinesBytes = 8;
+// Longest line with the size of a chunk and its extensions.
+constexpr std::size_t kMaxChunkLineBytes = 256;
 
 }  // namespace
 
-bool equalFold(std::string_view a, std::string_view b) {
+bool equalIgnoringCase(std::string_view a, std::string_view b) {
   return std::equal(a.begin(), a.end(), b.begin(), b.end(),
-                    [](char x, char y) { return lower(x) == lower(y); });
+                    [](char x, char y) { return toLower(x) == toLower(y); });
 }
 
 std::optional<std::string_view> Head::field(std::string_view name) const {
   for (const auto& [key, value] : fields)
-    if (equalFold(key, name)) return value;
+    if (equalIgnoringCase(key, name)) return value;
   return std::nullopt;
 }
 
@@ -55,33 +58,33 @@
   return false;
 }
 
-// A line that ends in CR LF, without these.
-std::optional<Parser::Span> Parser::line(const std::string& input, std::size_t from, std::size_t most) {
-  const auto at = input.find("\r\n", std::max(from, searched_));
-  if (at == std::string::npos ? input.size() - from > most : at - from > most) {
+std::optional<Parser::Span> Parser::findLine(const std::string& input, std::size_t from,
+                                             std::size_t maxSize) {
+  const auto end = input.find("\r\n", std::max(from, searchFrom_));
+  if (end == std::string::npos ? input.size() - from > maxSize : end - from > maxSize) {
     fail(400, "a line is too long");
     return std::nullopt;
   }
-  if (at == std::string::npos) {
-    searched_ = std::max(from, input.size() - std::min<std::size_t>(input.size(), 1));
+  if (end == std::string::npos) {
+    searchFrom_ = std::max(from, input.size() - std::min<std::size_t>(input.size(), 1));
     return std::nullopt;
   }
-  searched_ = 0;
-  return Span{from, at - from};
+  searchFrom_ = 0;
+  return Span{from, end - from};
 }
 
 Parser::Progress Parser::parse(std::string& input) {
   if (stage_ == Stage::head && !parseHead(input))
     return stage_ == Stage::fault ? Progress::fault : Progress::more;
   if (stage_ == Stage::length) {
-    bodyEnd_ = std::min(input.size(), bodyAt_ + left_);
-    read_ = bodyEnd_;
-    if (bodyEnd_ - bodyAt_ == left_) stage_ = Stage::done;
+    bodyEnd_ = std::min(input.size(), bodyStart_ + remaining_);
+    parsedEnd_ = bodyEnd_;
+    if (bodyEnd_ - bodyStart_ == remaining_) stage_ = Stage::done;
   } else if (stage_ == Stage::untilEnd) {
-    bodyEnd_ = read_ = input.size();
-    if (bodyEnd_ - bodyAt_ > limits_.body) fail(413, "the body is too long");
+    bodyEnd_ = parsedEnd_ = input.size();
+    if (bodyEnd_ - bodyStart_ > limits_.body) fail(413, "the body is too long");
   } else if (stage_ != Stage::done && stage_ != Stage::fault) {
-    while (parseChunks(input)) {
+    while (parseChunkElement(input)) {
     }
   }
   return stage_ == Stage::done    ? Progress::complete
@@ -95,50 +98,54 @@
 }
 
 bool Parser::parseHead(const std::string& input) {
-  // Empty lines before a request are tolerated, as the standard asks.
+  // Empty lines before a request are skipped, as RFC 9112, section 2.2, recommends.
   std::size_t start = 0;
-  while (input.compare(start, 2, "\r\n") == 0 && start < 8) start += 2;
-  const auto end = input.find("\r\n\r\n", std::max(start, searched_));
+  while (input.compare(start, 2, "\r\n") == 0 && start < kMaxEmptyLinesBytes) start += 2;
+  const auto end = input.find("\r\n\r\n", std::max(start, searchFrom_));
   if (end == std::string::npos ? input.size() > limits_.head : end > limits_.head)
     return fail(431, "the head is too long");
   if (end == std::string::npos) {
-    searched_ = input.size() < 3 ? 0 : input.size() - 3;
+    searchFrom_ = input.size() < 3 ? 0 : input.size() - 3;
     return false;
   }
-  searched_ = 0;
+  searchFrom_ = 0;
   for (std::size_t at = start; at < end + 2;) {
     const auto lineEnd = input.find("\r\n", at);
     const Span span{at, lineEnd - at};
     const auto text = span.in(input);
-    for (const char c : text)  // bare CR, LF or NUL: where one reader sees a line end another may not
+    // A bare CR, LF or NUL is a line end to some parsers and not to others, which allows request smuggling.
+    for (const char c : text)
       if ((static_cast<unsigned char>(c) < ' ' && c != '\t') || c == 0x7f)
         return fail(400, "a control character in the head");
     if (at == start ? !parseStartLine(input, span) : !parseField(input, span)) return false;
     at = lineEnd + 2;
   }
-  bodyAt_ = bodyEnd_ = read_ = end + 4;
-  return chooseBody(input);
+  bodyStart_ = bodyEnd_ = parsedEnd_ = end + 4;
+  return determineBodyFraming(input);
 }
 
 bool Parser::parseStartLine(const std::string& input, Span line) {
   const auto text = line.in(input);
-  const auto first = text.find(' ');
-  if (first == std::string_view::npos) return fail(400, "the start line is malformed");
+  const auto firstSpace = text.find(' ');
+  if (firstSpace == std::string_view::npos) return fail(400, "the start line is malformed");
   std::string_view version;
   if (side_ == Side::request) {
-    const auto second = text.find(' ', first + 1);
-    if (second == std::string_view::npos || second == first + 1 || !isTokens(text.substr(0, first)))
+    const auto secondSpace = text.find(' ', firstSpace + 1);
+    if (secondSpace == std::string_view::npos || secondSpace == firstSpace + 1 ||
+        !isToken(text.substr(0, firstSpace)))
       return fail(400, "the request line is malformed");
-    method_ = {line.at, first};
-    target_ = {line.at + first + 1, second - first - 1};
-    version = text.substr(second + 1);
+    method_ = {line.offset, firstSpace};
+    target_ = {line.offset + firstSpace + 1, secondSpace - firstSpace - 1};
+    version = text.substr(secondSpace + 1);
     if (target_.in(input).front() != '/' && target_.in(input) != "*")
       return fail(400, "the request target is malformed");
   } else {
-    version = text.substr(0, first);
-    const auto status = number(text.substr(first + 1, 3), 10);
-    const bool ends = text.size() == first + 4 || (text.size() > first + 4 && text[first + 4] == ' ');
-    if (!status || *status < 100 || *status > 599 || !ends) return fail(400, "the status line is malformed");
+    version = text.substr(0, firstSpace);
+    const auto status = parseNumber(text.substr(firstSpace + 1, 3), 10);
+    const bool codeEnds =
+        text.size() == firstSpace + 4 || (text.size() > firstSpace + 4 && text[firstSpace + 4] == ' ');
+    if (!status || *status < 100 || *status > 599 || !codeEnds)
+      return fail(400, "the status line is malformed");
     status_ = static_cast<int>(*status);
   }
   http10_ = version == "HTTP/1.0";
@@ -150,91 +157,97 @@
 bool Parser::parseField(const std::string& input, Span line) {
   const auto text = line.in(input);
   const auto colon = text.find(':');
-  // A blank before the colon, or a folded line, is read differently by different readers.
-  if (colon == std::string_view::npos || !isTokens(text.substr(0, colon)))
+  // A blank before the colon and a folded line are rejected, since parsers disagree on their meaning.
+  if (colon == std::string_view::npos || !isToken(text.substr(0, colon)))
     return fail(400, "a field is malformed");
   const auto value = trim(text.substr(colon + 1));
-  const auto at =
-      value.empty() ? line.at + colon : line.at + static_cast<std::size_t>(value.data() - text.data());
-  fields_.push_back({Span{line.at, colon}, Span{at, value.size()}});
+  const auto at = value.empty() ? line.offset + colon
+                                : line.offset + static_cast<std::size_t>(value.data() - text.data());
+  fields_.push_back({Span{line.offset, colon}, Span{at, value.size()}});
   return true;
 }
 
-// How long the body is. Guards against smuggling: where two readers could come to different lengths, because
-// a length is doubled or both forms are given, the message is turned down.
-bool Parser::chooseBody(const std::string& input) {
+// Determines how the body is delimited. Guards against request smuggling: a message whose length two parsers
+// could read differently, because it has two lengths or both kinds of framing, is rejected.
+bool Parser::determineBodyFraming(const std::string& input) {
   std::optional<std::size_t> length;
-  bool chunked = false, close = false, keep = false, host = false;
+  bool chunked = false;
+  bool close = false;
+  bool keepAlive = false;
+  bool hostSeen = false;
   for (const auto& [key, value] : fields_) {
-    const auto name = key.in(input), text = value.in(input);
-    if (equalFold(name, "Content-Length")) {
+    const auto name = key.in(input);
+    const auto text = value.in(input);
+    if (equalIgnoringCase(name, "Content-Length")) {
       if (length) return fail(400, "Content-Length is given twice");
-      length = number(text, 10);
+      length = parseNumber(text, 10);
       if (!length) return fail(400, "Content-Length is malformed");
-    } else if (equalFold(name, "Transfer-Encoding")) {
-      if (chunked || !equalFold(text, "chunked") || http10_)
+    } else if (equalIgnoringCase(name, "Transfer-Encoding")) {
+      if (chunked || !equalIgnoringCase(text, "chunked") || http10_)
         return fail(400, "Transfer-Encoding is not supported");
       chunked = true;
-    } else if (equalFold(name, "Connection")) {
+    } else if (equalIgnoringCase(name, "Connection")) {
       for (std::string_view rest = text; !rest.empty();) {
         const auto comma = std::min(rest.find(','), rest.size());
-        const auto word = trim(rest.substr(0, comma));
-        close = close || equalFold(word, "close");
-        keep = keep || equalFold(word, "keep-alive");
+        const auto option = trim(rest.substr(0, comma));
+        close = close || equalIgnoringCase(option, "close");
+        keepAlive = keepAlive || equalIgnoringCase(option, "keep-alive");
         rest.remove_prefix(std::min(comma + 1, rest.size()));
       }
-    } else if (equalFold(name, "Host")) {
-      if (host) return fail(400, "Host is given twice");
-      host = true;
+    } else if (equalIgnoringCase(name, "Host")) {
+      if (hostSeen) return fail(400, "Host is given twice");
+      hostSeen = true;
     }
   }
   if (length && chunked) return fail(400, "Content-Length beside Transfer-Encoding");
-  if (side_ == Side::request && !host && !http10_) return fail(400, "Host is missing");
-  keepAlive_ = !close && (!http10_ || keep);
+  if (side_ == Side::request && !hostSeen && !http10_) return fail(400, "Host is missing");
+  keepAlive_ = !close && (!http10_ || keepAlive);
   if (length && *length > limits_.body) return fail(413, "the body is too long");
-  left_ = length.value_or(0);
-  const bool none = status_ == 204 || status_ == 304 || (status_ >= 100 && status_ < 200);
+  remaining_ = length.value_or(0);
+  const bool noBody = status_ == 204 || status_ == 304 || (status_ >= 100 && status_ < 200);
   if (chunked) {
     stage_ = Stage::chunkSize;
-  } else if (side_ == Side::response && !length && !none) {
+  } else if (side_ == Side::response && !length && !noBody) {
     stage_ = Stage::untilEnd;
     keepAlive_ = false;
   } else {
-    if (none) left_ = 0;
+    if (noBody) remaining_ = 0;
     stage_ = Stage::length;
   }
   return true;
 }
 
-bool Parser::parseChunks(std::string& input) {
+bool Parser::parseChunkElement(std::string& input) {
   if (stage_ == Stage::chunkSize) {
-    const auto found = line(input, read_, kChunkLine);
+    const auto found = findLine(input, parsedEnd_, kMaxChunkLineBytes);
     if (!found) return false;
     const auto text = found->in(input);
-    const auto size = number(trim(text.substr(0, text.find(';'))), 16);
+    const auto size = parseNumber(trim(text.substr(0, text.find(';'))), 16);
     if (!size || text.find('\n') != std::string_view::npos) return fail(400, "a chunk's size is malformed");
-    if (*size > limits_.body - std::min(limits_.body, bodyEnd_ - bodyAt_))
+    if (*size > limits_.body - std::min(limits_.body, bodyEnd_ - bodyStart_))
       return fail(413, "the body is too long");
-    read_ = found->at + found->size + 2;
-    left_ = *size;
+    parsedEnd_ = found->offset + found->size + 2;
+    remaining_ = *size;
     stage_ = *size == 0 ? Stage::trailer : Stage::chunkData;
   } else if (stage_ == Stage::chunkData) {
-    const auto take = std::min(left_, input.size() - read_);
-    std::copy(input.begin() + static_cast<std::ptrdiff_t>(read_),
-              input.begin() + static_cast<std::ptrdiff_t>(read_ + take),
+    const auto count = std::min(remaining_, input.size() - parsedEnd_);
+    std::copy(input.begin() + static_cast<std::ptrdiff_t>(parsedEnd_),
+              input.begin() + static_cast<std::ptrdiff_t>(parsedEnd_ + count),
               input.begin() + static_cast<std::ptrdiff_t>(bodyEnd_));
-    read_ += take, bodyEnd_ += take, left_ -= take;
-    if (left_ > 0) return false;
+    parsedEnd_ += count;
+    bodyEnd_ += count;
+    remaining_ -= count;
+    if (remaining_ > 0) return false;
     stage_ = Stage::chunkEnd;
   } else if (stage_ == Stage::chunkEnd) {
-    if (input.size() - read_ < 2) return false;
-    if (input.compare(read_, 2, "\r\n") != 0) return fail(400, "a chunk's end is malformed");
-    read_ += 2;
+    if (input.size() - parsedEnd_ < 2) return false;
+    if (input.compare(parsedEnd_, 2, "\r\n") != 0) return fail(400, "a chunk's end is malformed");
+    parsedEnd_ += 2;
     stage_ = Stage::chunkSize;
   } else if (stage_ == Stage::trailer) {
-    const auto found = line(input, read_, limits_.head);
+    const auto found = findLine(input, parsedEnd_, limits_.head);
     if (!found) return false;
-    read_ = found->at + found->size + 2;
+    parsedEnd_ = found->offset + found->size + 2;
     if (found->size == 0) stage_ = Stage::done;
   }
   return stage_ != Stage::done;
@@ -242,27 +255,29 @@
 
 Head Parser::head(const std::string& input) const {
   Head head;
-  head.method = method_.in(input), head.target = target_.in(input);
-  head.status = status_, head.keepAlive = keepAlive_;
+  head.method = method_.in(input);
+  head.target = target_.in(input);
+  head.status = status_;
+  head.keepAlive = keepAlive_;
   head.fields.reserve(fields_.size());
   for (const auto& [key, value] : fields_) head.fields.emplace_back(key.in(input), value.in(input));
   return head;
 }
 
 std::string_view Parser::body(const std::string& input) const {
-  return std::string_view(input).substr(bodyAt_, bodyEnd_ - bodyAt_);
+  return std::string_view(input).substr(bodyStart_, bodyEnd_ - bodyStart_);
 }
 
 std::string Parser::takeBody(std::string& input) {
   std::string taken(body(input));
-  input.erase(bodyAt_, read_ - bodyAt_);
-  bodyEnd_ = read_ = bodyAt_;
-  searched_ = 0;
+  input.erase(bodyStart_, parsedEnd_ - bodyStart_);
+  bodyEnd_ = parsedEnd_ = bodyStart_;
+  searchFrom_ = 0;
   return taken;
 }
 
 void Parser::next(std::string& input) {
-  input.erase(0, read_);
+  input.erase(0, parsedEnd_);
   *this = Parser(side_, limits_);
 }
 
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -12,39 +12,43 @@
 namespace topazweir::http {
 
 namespace {
-constexpr Nanos kSweep = 200'000'000;
-constexpr Nanos kYoung = 250'000'000;  // a connection may be opened a little before its first request is sent
-constexpr double kRoomy = 0.75;        // of the connections: beyond, the idle ones go
-constexpr int kBacklog = 512;
+// Interval of the sweep for slow requests and idle connections.
+constexpr Nanos kSweepIntervalNs = 200'000'000;
+// Grace period of a new connection: clients may open one a little before they send the first request.
+constexpr Nanos kNewConnectionGraceNs = 250'000'000;
+// Above this share of the maximum connections, the sweep closes idle connections.
+constexpr double kIdleCloseLoadRatio = 0.75;
+// Length of the kernel's queue of pending connections.
+constexpr int kListenBacklog = 512;
 }  // namespace
 
 Server::Server(net::Loop& loop, broker::Log& log, Options options, Handler& handler)
     : loop_(loop), log_(log), options_(std::move(options)), handler_(handler) {
-  // Shared with a process that is being replaced, where the port is a given one; a port that the system is to
-  // choose must not be one that another process shares.
+  // A configured port is shared with the process that this one replaces. A port chosen by the system must not
+  // be shared, or it could be one that another process listens on.
   if (options_.inherited) {
     listener_ = net::inheritedSocket(*options_.inherited);
   } else {
     listener_.bind(options_.address, true, options_.address.port() != 0);
-    listener_.listen(kBacklog);
+    listener_.listen(kListenBacklog);
   }
   listener_.setBlocking(false);
   accepts_ = options_.accepts;
-  listen(true);
-  sweepTimer_ = loop_.after(kSweep, [this] { sweep(); });
+  watchListener(true);
+  sweepTimer_ = loop_.after(kSweepIntervalNs, [this] { sweep(); });
 }
 
 Server::~Server() {
   loop_.cancel(sweepTimer_);
-  listen(false);
+  watchListener(false);
 }
 
-void Server::listen(bool on) {
+void Server::watchListener(bool on) {
   on = on && accepts_;
-  if (listening_ == on) return;
+  if (watchingListener_ == on) return;
   const Poco::Observer<Server, Poco::Net::ReadableNotification> observer(*this, &Server::onAccept);
   on ? loop_.addEventHandler(listener_, observer) : loop_.removeEventHandler(listener_, observer);
-  listening_ = on;
+  watchingListener_ = on;
 }
 
 void Server::onAccept(Poco::Net::ReadableNotification* event) {
@@ -53,19 +57,20 @@
 }
 
 void Server::accept() {
-  while (open_) {
-    // With no room to be made the backlog waits: the program must not run out of descriptors.
-    if (open() >= options_.mostConnections && !makeRoom()) return listen(false);
+  while (listenerOpen_) {
+    // At the limit new connections wait in the backlog: the program must not run out of descriptors.
+    if (openConnections() >= options_.mostConnections && !freeConnection()) return watchListener(false);
     std::shared_ptr<net::Connection> connection;
     try {
       if (!listener_.poll(Poco::Timespan(0), Poco::Net::Socket::SELECT_READ)) return;
       connection = net::Connection::adopt(loop_, listener_.acceptConnection(), *this);
-    } catch (const Poco::Exception& error) {  // the client left meanwhile, or no descriptor was left
-      if (error.code() == EAGAIN || error.code() == EWOULDBLOCK) return;  // another process was quicker
+    } catch (const Poco::Exception& error) {  // the client has disconnected, or out of descriptors
+      if (error.code() == EAGAIN || error.code() == EWOULDBLOCK) return;  // accepted by another process
       log_.line("http.accept_failed", options_.name + " " + error.displayText());
-      // Who can't be accepted waits on, and the loop would be told so without end: not before the next sweep.
+      // The pending connection would keep the listener readable and the loop spinning: retry at the next
+      // sweep.
       const int code = error.code();
-      if (code == EMFILE || code == ENFILE || code == ENOBUFS || code == ENOMEM) listen(false);
+      if (code == EMFILE || code == ENFILE || code == ENOBUFS || code == ENOMEM) watchListener(false);
       return;
     }
     Client& client = clients_[connection.get()];
@@ -74,8 +79,8 @@
   }
 }
 
-// What holds a descriptor: clients, and those whose connections still linger after their last answer.
-std::size_t Server::open() const {
+// Connections that hold a descriptor: those of clients, and those lingering after their last response.
+std::size_t Server::openConnections() const {
   return clients_.size() +
          static_cast<std::size_t>(std::count_if(closing_.begin(), closing_.end(), [](const auto& weak) {
            const auto connection = weak.lock();
@@ -83,53 +88,56 @@
          }));
 }
 
-// At the limit those go first that lose least: who has been idle for long, who has had the answer and does
-// not read it to its end, who has asked before and will ask again, and at last who has never asked anything.
-bool Server::makeRoom() {
-  if (closeIdle(options_.idleTime, true)) return true;
+// Closes a connection to make room for a new one, in the order of the least harm: one that has been idle for
+// the idle timeout, one whose client has been sent the whole response and has not closed yet, one that is
+// idle after an earlier request, and last one that has never sent a request and is past its grace period.
+bool Server::freeConnection() {
+  if (closeLongestIdle(options_.idleTimeout, true)) return true;
   for (const auto& weak : closing_) {
     const auto connection = weak.lock();
     if (!connection || connection->ended() || !connection->flushed()) continue;
     connection->close();
     return true;
   }
-  return closeIdle(0, false) || closeIdle(kYoung, true);
+  return closeLongestIdle(0, false) || closeLongestIdle(kNewConnectionGraceNs, true);
 }
 
-// Closes the connection that has been idle for longest, if any has for so long. None with a request unread.
-bool Server::closeIdle(Nanos longerThan, bool unasked) {
+// Closes the connection that has been idle longest, if that is at least `minIdleTime`. A connection with an
+// unread request is served instead. Returns whether a connection was closed.
+bool Server::closeLongestIdle(Nanos minIdleTime, bool includeWithoutRequest) {
   Client* oldest = nullptr;
   for (auto& [key, client] : clients_)
-    if (client.idle() && (client.asked || unasked) && loop_.now() - client.since >= longerThan &&
-        (!oldest || client.since < oldest->since))
+    if (client.idle() && (client.hasRequested || includeWithoutRequest) &&
+        loop_.now() - client.since >= minIdleTime && (!oldest || client.since < oldest->since))
       oldest = &client;
   if (!oldest) return false;
   const auto connection = oldest->connection;
-  // What has been read here the loop will not speak of again: a request that crossed the close is served.
+  // A request that arrived in the meantime is served: the loop does not report bytes that are read here.
   if (connection->readMore()) {
     onData(*connection);
     return false;
   }
   log_.line("http.connection_limit", options_.name + " closed an idle connection");
-  connection
-      ->close();  // its descriptor is needed now, and there is nothing unread that would make it a reset
-  drop(*connection);
+  // Closed at once, since its descriptor is needed now. Nothing is unread, so the client gets no reset.
+  connection->close();
+  removeClient(*connection);
   return true;
 }
 
 void Server::onData(net::Connection& connection) {
   const auto at = clients_.find(&connection);
   if (at == clients_.end()) return;
-  // Not renewed by each further byte: that would let a request come in for ever.
-  if (at->second.asked && at->second.exchange == 0 && !at->second.begun) at->second.since = loop_.now();
-  at->second.begun = true;
+  // The time is not renewed by further bytes, or a slow request could take forever.
+  if (at->second.hasRequested && at->second.exchange == 0 && !at->second.requestBegun)
+    at->second.since = loop_.now();
+  at->second.requestBegun = true;
   serve(at->second);
 }
 
-// One exchange after the other; what a client sends ahead waits in the input. A client that has left is not
-// worked for, though its request is here.
+// Handles one exchange at a time; pipelined requests wait in the input. The request of a client that has
+// already disconnected is not started.
 void Server::serve(Client& client) {
-  const auto connection = client.connection;  // kept: the handler may answer, and with that end it
+  const auto connection = client.connection;  // keeps it alive: the handler may respond, which can end it
   while (client.exchange == 0 && !client.connection->input().empty()) {
     if (connection->peerLeft()) return connection->end(net::ConnectionEnd::peerClosed);
     switch (client.parser.parse(connection->input())) {
@@ -141,12 +149,12 @@
         break;
     }
     const auto head = client.parser.head(connection->input());
-    client.exchange = ++last_;
-    client.asked = true;
+    client.exchange = ++lastExchange_;
+    client.hasRequested = true;
     client.close = !head.keepAlive;
-    exchanges_[last_] = connection.get();
-    handler_.onRequest(last_, head, client.parser.body(connection->input()));
-    // The handler may have answered at once; the client may be gone with that.
+    exchanges_[lastExchange_] = connection.get();
+    handler_.onRequest(lastExchange_, head, client.parser.body(connection->input()));
+    // The handler may have responded at once, which may have removed the client.
     if (clients_.find(connection.get()) == clients_.end()) return;
   }
 }
@@ -158,8 +166,8 @@
   auto head = writeHead(response, true);
   const auto connection = client.connection;
   connection->write(std::move(head), std::move(response.body));
-  endGently(*connection);
-  connection->input() = {};  // it may be much, and it lingers
+  closeGently(*connection);
+  connection->input() = {};  // frees the memory, which may be much, while the connection lingers
 }
 
 void Server::respond(ExchangeNo exchange, const Response& response) {
@@ -169,47 +177,49 @@
   exchanges_.erase(found);
   Client& client = at->second;
   const auto connection = client.connection;
-  // Not before the listener has closed: a client that is made to connect anew while the layer in front has
-  // stopped sending new connections here, and no other aggregator is up yet, would have nowhere to go.
-  const bool close = client.close || !open_ || endWithAnswers_;
+  // During a drain connections are closed only once the listener is closed or endWithAnswers() is on. Before
+  // that, the load balancer may have stopped sending new connections here while no other aggregator is up
+  // yet, and a client that has to reconnect would find no server.
+  const bool close = client.close || !listenerOpen_ || closeAfterResponse_;
   connection->write(writeHead(response, close), response.body);
   client.parser.next(connection->input());
   client.exchange = 0;
   client.since = loop_.now();
-  client.begun = !connection->input().empty();
-  if (close) return endGently(*connection);
+  client.requestBegun = !connection->input().empty();
+  if (close) return closeGently(*connection);
   connection->resume();
   if (connection->input().empty()) return;
-  // What the client has sent ahead is served from the loop: this may be called from within serve().
+  // Pipelined requests are served from the loop, since this may be called from within serve().
   const std::weak_ptr<net::Connection> weak = connection;
   loop_.soon([this, weak] {
     const auto self = weak.lock();
-    const auto still = self ? clients_.find(self.get()) : clients_.end();
-    if (still != clients_.end()) serve(still->second);
+    const auto clientAt = self ? clients_.find(self.get()) : clients_.end();
+    if (clientAt != clients_.end()) serve(clientAt->second);
   });
 }
 
-void Server::endGently(net::Connection& connection) {
+void Server::closeGently(net::Connection& connection) {
   connection.closeGently();
-  drop(connection);
+  removeClient(connection);
 }
 
-void Server::drop(net::Connection& connection) {
+void Server::removeClient(net::Connection& connection) {
   const auto at = clients_.find(&connection);
   if (at == clients_.end()) return;
   if (at->second.exchange != 0) exchanges_.erase(at->second.exchange);
   std::erase_if(closing_, [](const auto& weak) { return weak.expired(); });
   if (!connection.ended()) closing_.push_back(at->second.connection);
   clients_.erase(at);
-  if (open_ && open() < options_.mostConnections) listen(true);
+  if (listenerOpen_ && openConnections() < options_.mostConnections) watchListener(true);
 }
 
-// Guards against an exit that cuts an answer short which its client has not read yet: what a client sends
-// meanwhile would stand unread behind it, and a close over that is a reset.
-bool Server::quiet() const { return open() == 0; }
+// Includes lingering connections, so that the process does not exit before clients have read their responses.
+// Closing over input that arrived in the meantime would send a reset and cut a response short.
+bool Server::quiet() const { return openConnections() == 0; }
 
-// A client that has sent ahead more than is read, and has left: with no exchange open, serve() sees to it.
-void Server::onLeft(net::Connection& connection) {
+// A client has filled the input with pipelined requests and disconnected. Without an open exchange, serve()
+// detects this itself.
+void Server::onPeerClosedWhilePaused(net::Connection& connection) {
   const auto at = clients_.find(&connection);
   if (at != clients_.end() && at->second.exchange != 0) connection.end(net::ConnectionEnd::peerClosed);
 }
@@ -219,54 +229,57 @@
   if (at == clients_.end()) return;
   const auto exchange = at->second.exchange;
   const auto keep = at->second.connection;
-  drop(connection);
+  removeClient(connection);
   if (exchange != 0) handler_.onGone(exchange);
 }
 
-// Guards the descriptors against clients that send half a request, or nothing at all: they have an answer or
-// an end in time, however they spread their bytes. A client is never answered before it has begun to ask.
+// Prevents clients that send partial requests, or nothing at all, from holding descriptors: after the request
+// timeout they get a response or a close, however they spread their bytes. A client that has sent nothing
+// gets no response.
 void Server::sweep() {
-  sweepTimer_ = loop_.after(kSweep, [this] { sweep(); });
-  std::vector<std::shared_ptr<net::Connection>> slow;
+  sweepTimer_ = loop_.after(kSweepIntervalNs, [this] { sweep(); });
+  std::vector<std::shared_ptr<net::Connection>> overdue;
   for (auto& [key, client] : clients_) {
-    if (client.exchange == 0 && (!client.asked || client.begun) &&
-        loop_.now() - client.since > options_.requestTime)
-      slow.push_back(client.connection);
+    if (client.exchange == 0 && (!client.hasRequested || client.requestBegun) &&
+        loop_.now() - client.since > options_.requestTimeout)
+      overdue.push_back(client.connection);
   }
-  for (const auto& connection : slow) {
-    if (!hurry(*connection) && !clients_.at(connection.get()).asked) endGently(*connection);
+  for (const auto& connection : overdue) {
+    if (!serveOrReject(*connection) && !clients_.at(connection.get()).hasRequested) closeGently(*connection);
   }
-  const auto roomy = static_cast<std::size_t>(kRoomy * static_cast<double>(options_.mostConnections));
-  while (open_ && clients_.size() > roomy && closeIdle(options_.idleTime, false)) {
+  const auto idleCloseThreshold =
+      static_cast<std::size_t>(kIdleCloseLoadRatio * static_cast<double>(options_.mostConnections));
+  while (listenerOpen_ && clients_.size() > idleCloseThreshold &&
+         closeLongestIdle(options_.idleTimeout, false)) {
   }
-  if (endIdle_) endIdle();
-  if (open_) listen(true);  // it may be off; since then some have been idle for long enough
+  if (closeIdle_) closeIdleConnections();
+  // Accepting may be paused, and connections may have been idle for long enough since.
+  if (listenerOpen_) watchListener(true);
 }
 
 void Server::startAccepting() {
   accepts_ = true;
-  if (open_) listen(true);
+  if (listenerOpen_) watchListener(true);
 }
 
 void Server::stopListening(bool shared) {
-  if (!open_) return;
-  if (!shared && accepts_) accept();  // what the machine has accepted is ours to answer
-  open_ = false;
-  listen(false);
+  if (!listenerOpen_) return;
+  if (!shared && accepts_) accept();  // connections that the kernel has accepted must be served
+  listenerOpen_ = false;
+  watchListener(false);
   try {
     listener_.close();
-  } catch (const Poco::Exception&) {  // closed either way
+  } catch (const Poco::Exception&) {  // nothing more can be done: the listener counts as closed
   }
 }
 
 void Server::stopAccepting() {
   stopListening();
-  endIdle_ = true;
-  endIdle();
+  closeIdle_ = true;
+  closeIdleConnections();
 }
 
-// Its time is up: a request that has come in whole by now is served, one that has not is turned down.
-bool Server::hurry(net::Connection& connection) {
+bool Server::serveOrReject(net::Connection& connection) {
   connection.readMore();
   if (!connection.input().empty()) onData(connection);
   const auto at = clients_.find(&connection);
@@ -277,28 +290,28 @@
 }
 
 void Server::endUnfinished() {
-  std::vector<std::shared_ptr<net::Connection>> unasked;
+  std::vector<std::shared_ptr<net::Connection>> withoutRequest;
   for (auto& [key, client] : clients_)
-    if (client.exchange == 0) unasked.push_back(client.connection);
-  for (const auto& connection : unasked) {
-    if (!hurry(*connection)) endGently(*connection);
+    if (client.exchange == 0) withoutRequest.push_back(client.connection);
+  for (const auto& connection : withoutRequest) {
+    if (!serveOrReject(*connection)) closeGently(*connection);
   }
 }
 
-// A connection that has just been opened is about to bring its request.
-void Server::endIdle() {
+// Spares new connections within their grace period, since their first request is about to arrive.
+void Server::closeIdleConnections() {
   std::vector<std::shared_ptr<net::Connection>> idle;
   for (auto& [key, client] : clients_)
-    if (client.exchange == 0 && (client.asked || loop_.now() - client.since >= kYoung))
+    if (client.exchange == 0 && (client.hasRequested || loop_.now() - client.since >= kNewConnectionGraceNs))
       idle.push_back(client.connection);
   for (const auto& connection : idle) {
-    // A request that has arrived, read or not, is taken: it is served before the connection ends.
+    // A request that has arrived, even if not read yet, is served before the connection is closed.
     connection->readMore();
     if (clients_.find(connection.get()) == clients_.end()) continue;
     if (!connection->input().empty()) {
       onData(*connection);
     } else {
-      endGently(*connection);
+      closeGently(*connection);
     }
   }
 }
--- a/src/http/server.hpp
+++ b/src/http/server.hpp
@@ -1,5 +1,5 @@
-// The listening side of HTTP/1.1 for every front: connections, one exchange at a time on each, clear 4xx to
-// what is malformed, and an orderly end.
+// HTTP/1.1 server used by every front. It handles one exchange at a time on each connection, answers
+// malformed requests with a 4xx status and shuts down gracefully.
 #pragma once
 
 #include <Poco/Net/ServerSocket.h>
@@ -16,47 +16,60 @@
 
 namespace topazweir::http {
 
+// Runs on the loop's thread; not thread-safe.
 class Server : private net::Connection::Owner {
  public:
+  // Identifies a request and its response; never 0.
   using ExchangeNo = std::uint64_t;
 
   class Handler {
    public:
     virtual ~Handler() = default;
-    // To be answered by respond(), at once or later.
+    // A request has arrived in full. It is answered by respond(), from within this call or later.
     virtual void onRequest(ExchangeNo exchange, const Head& head, std::string_view body) = 0;
-    virtual void onGone(ExchangeNo exchange) = 0;  // the client has left; respond() is no longer of use
+    // The client has disconnected before the response; respond() no longer has any effect.
+    virtual void onGone(ExchangeNo exchange) = 0;
   };
 
   struct Options {
-    std::string name;  // for the log
+    // Name of the front in log lines.
+    std::string name;
     Poco::Net::SocketAddress address;
     std::size_t mostConnections = 256;
-    // A request must have come in within this time of its first byte, the first one of a connection of its
-    // being accepted.
-    Nanos requestTime = 2'200'000'000;
-    Nanos idleTime = 2'000'000'000;  // an idle connection may be closed after this, when room is needed
-    std::optional<int> inherited{};  // the descriptor of a listening socket, used in place of a new one
-    bool accepts = true;             // from the start; else startAccepting() is waited for
+    // A request must arrive in full within this time of its first byte. For the first request of a connection
+    // the time starts when the connection is accepted.
+    Nanos requestTimeout = 2'200'000'000;
+    // A connection that has been idle for this long may be closed when connections are needed.
+    Nanos idleTimeout = 2'000'000'000;
+    // Descriptor of an inherited listening socket, used instead of a new one.
+    std::optional<int> inherited{};
+    // Accept connections from the start; otherwise only after startAccepting().
+    bool accepts = true;
   };
 
+  // Binds and listens. Throws Poco::Exception if the address is not available.
   Server(net::Loop& loop, broker::Log& log, Options options, Handler& handler);
   ~Server() override;
 
+  // Sends the response of an exchange; ignored if the client has disconnected.
   void respond(ExchangeNo exchange, const Response& response);
-  void limit(std::size_t mostConnections) { options_.mostConnections = mostConnections; }  // from now on
+  // Changes the maximum number of connections; no connection is closed by this call.
+  void limit(std::size_t mostConnections) { options_.mostConnections = mostConnections; }
   void startAccepting();
-  // Whether connections end: each with its next answer; and, from the next sweep on, those that are idle, or
-  // young and have not asked. The listener stays.
-  void endWithAnswers(bool on) { endWithAnswers_ = on; }
-  void endIdle(bool on) { endIdle_ = on; }
-  // Closes the listener. What waits there is accepted first, unless another process shares it and accepts.
+  // Whether each connection is closed after its next response. The listener stays open.
+  void endWithAnswers(bool on) { closeAfterResponse_ = on; }
+  // Whether each sweep closes the idle connections and those without a request that are past the grace period
+  // of new ones. The listener stays open.
+  void endIdle(bool on) { closeIdle_ = on; }
+  // Closes the listener. Pending connections are accepted first, unless another process shares the listener
+  // and accepts them.
   void stopListening(bool shared = false);
-  // Closes the listener, and each connection as soon as nothing is open on it.
+  // Starts the graceful shutdown: closes the listener, and each connection once it has no open exchange.
   void stopAccepting();
-  // After stopAccepting: what has not come in whole is turned down, and what is idle ends.
+  // After stopAccepting(): rejects requests that have not arrived in full and closes idle connections.
   void endUnfinished();
-  // After stopAccepting: all has been answered, written whole and read by its clients, as far as they read.
+  // After stopAccepting(): true once every response has been written in full and read by its client, or the
+  // linger timeout of its connection has expired.
   bool quiet() const;
   std::size_t connections() const { return clients_.size(); }
   Poco::Net::SocketAddress address() const { return listener_.address(); }
@@ -65,31 +78,32 @@
   struct Client {
     std::shared_ptr<net::Connection> connection;
     Parser parser{Side::request};
-    ExchangeNo exchange = 0;  // open one; 0: none
-    bool close = false;       // after the open exchange
-    bool asked = false;       // a request has come in whole
-    bool begun = false;       // the next one has begun to
-    Nanos since = 0;          // it is idle, or its next request has begun
+    ExchangeNo exchange = 0;    // the open exchange; 0: none
+    bool close = false;         // close after the open exchange
+    bool hasRequested = false;  // at least one request has arrived in full
+    bool requestBegun = false;  // the first byte of the next request has arrived
+    Nanos since = 0;            // when the connection became idle or its next request began
     bool idle() const { return exchange == 0 && connection->input().empty() && connection->flushed(); }
   };
 
   void onAccept(Poco::Net::ReadableNotification* event);
   void accept();
-  void listen(bool on);
+  void watchListener(bool on);
   void onData(net::Connection& connection) override;
-  void onLeft(net::Connection& connection) override;
+  void onPeerClosedWhilePaused(net::Connection& connection) override;
   void onEnd(net::Connection& connection, net::ConnectionEnd end) override;
   void serve(Client& client);
   void reject(Client& client, const Fault& fault);
-  void drop(net::Connection& connection);
-  // False: nothing has come in on it; else what has is served or turned down.
-  bool hurry(net::Connection& connection);
-  void endGently(net::Connection& connection);
+  void removeClient(net::Connection& connection);
+  // Serves a request that has arrived in full and rejects one that has not. Returns false if nothing has
+  // arrived.
+  bool serveOrReject(net::Connection& connection);
+  void closeGently(net::Connection& connection);
   void sweep();
-  bool makeRoom();
-  bool closeIdle(Nanos longerThan, bool unasked);
-  void endIdle();
-  std::size_t open() const;
+  bool freeConnection();
+  bool closeLongestIdle(Nanos minIdleTime, bool includeWithoutRequest);
+  void closeIdleConnections();
+  std::size_t openConnections() const;
 
   net::Loop& loop_;
   broker::Log& log_;
@@ -99,10 +113,14 @@
   net::Loop::TimerId sweepTimer_;
   std::map<net::Connection*, Client> clients_;
   std::map<ExchangeNo, net::Connection*> exchanges_;
-  std::vector<std::weak_ptr<net::Connection>> closing_;  // answered, and not read to the end by their clients
-  ExchangeNo last_ = 0;
-  bool listening_ = false, open_ = true, accepts_ = true;
-  bool endWithAnswers_ = false, endIdle_ = false;
+  // Connections that have been answered and linger until their clients have read the answer.
+  std::vector<std::weak_ptr<net::Connection>> closing_;
+  ExchangeNo lastExchange_ = 0;
+  bool watchingListener_ = false;  // registered with the loop for new connections
+  bool listenerOpen_ = true;
+  bool accepts_ = true;
+  bool closeAfterResponse_ = false;
+  bool closeIdle_ = false;
 };
 
 }  // namespace topazweir::http
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -12,59 +12,66 @@
 
 namespace topazweir::net {
 
+namespace {
+constexpr std::size_t kReadChunkBytes = 65536;
+constexpr std::size_t kMaxGatheredPieces = 16;
+}  // namespace
+
 using ReadObserver = Poco::Observer<Connection, Poco::Net::ReadableNotification>;
 using WriteObserver = Poco::Observer<Connection, Poco::Net::WritableNotification>;
 
 std::shared_ptr<Connection> Connection::adopt(Loop& loop, const Poco::Net::StreamSocket& socket,
                                               Owner& owner) {
-  std::shared_ptr<Connection> c(new Connection(loop, socket, owner, State::up));
-  c->socket_.setBlocking(false);
-  c->socket_.setNoDelay(true);
-  c->watch(true, false);
-  c->accepted_ = true;
-  loop.accepted(*c);
-  return c;
+  std::shared_ptr<Connection> connection(new Connection(loop, socket, owner, State::up));
+  connection->socket_.setBlocking(false);
+  connection->socket_.setNoDelay(true);
+  connection->watch(true, false);
+  connection->accepted_ = true;
+  loop.registerAccepted(*connection);
+  return connection;
 }
 
 std::shared_ptr<Connection> Connection::connect(Loop& loop, const Poco::Net::SocketAddress& peer,
                                                 Nanos timeout, Owner& owner) {
-  std::shared_ptr<Connection> c(new Connection(loop, Poco::Net::StreamSocket(), owner, State::connecting));
-  const std::weak_ptr<Connection> weak = c;
+  std::shared_ptr<Connection> connection(
+      new Connection(loop, Poco::Net::StreamSocket(), owner, State::connecting));
+  const std::weak_ptr<Connection> weak = connection;
   try {
-    c->socket_.connectNB(peer);
-    c->socket_.setNoDelay(true);
-    c->watch(false, true);
-    c->timer_ = loop.after(timeout, [weak] {
-      if (const auto self = weak.lock()) self->connectTimedOut();
+    connection->socket_.connectNB(peer);
+    connection->socket_.setNoDelay(true);
+    connection->watch(false, true);
+    connection->timer_ = loop.after(timeout, [weak] {
+      if (const auto self = weak.lock()) self->onConnectTimeout();
     });
-  } catch (const Poco::Exception&) {  // refused at once, no route, no descriptor
-    c->timer_ = loop.after(0, [weak] {
+  } catch (const Poco::Exception&) {  // refused at once, no route, or out of descriptors
+    connection->timer_ = loop.after(0, [weak] {
       if (const auto self = weak.lock()) self->end(ConnectionEnd::unreachable);
     });
   }
-  return c;
+  return connection;
 }
 
-// A loop that has stood still sees its timers before its sockets: a connection that came up or was refused
-// meanwhile did not time out. Its event is in the same round.
-void Connection::connectTimedOut() {
-  pollfd look{fd(), POLLOUT, 0};
-  if (::poll(&look, 1, 0) <= 0) return end(ConnectionEnd::connectTimeout);
+// After a stall the loop runs its timers before its socket events. A connection that was established or
+// refused during the stall has not timed out; its event follows in the same loop iteration.
+void Connection::onConnectTimeout() {
+  pollfd entry{fd(), POLLOUT, 0};
+  if (::poll(&entry, 1, 0) <= 0) return end(ConnectionEnd::connectTimeout);
   timer_ = {};
 }
 
 Connection::~Connection() { release(); }
 
-// Asks the reactor for just what is needed: a writable socket that nobody writes to would make it spin. Poco
-// 1.11 keeps polling for an event whose observer has gone while another observer of the socket stays; so all
-// are taken away first, which drops the socket from its poll set.
+// Registers only for the events that are needed: the reactor would spin on a writable socket without output.
+// Poco 1.11 keeps polling for an event whose observer was removed as long as the socket has another observer.
+// All observers are therefore removed first, which drops the socket from the poll set.
 void Connection::watch(bool readable, bool writable) {
   if (readable == readable_ && writable == writable_) return;
   const ReadObserver reads(*this, &Connection::onReadable);
   const WriteObserver writes(*this, &Connection::onWritable);
   if (readable_) loop_.removeEventHandler(socket_, reads);
   if (writable_) loop_.removeEventHandler(socket_, writes);
-  readable_ = readable, writable_ = writable;
+  readable_ = readable;
+  writable_ = writable;
   if (readable_) loop_.addEventHandler(socket_, reads);
   if (writable_) loop_.addEventHandler(socket_, writes);
 }
@@ -73,11 +80,11 @@
   if (state_ == State::ended) return;
   state_ = State::ended;
   loop_.cancel(timer_);
-  if (accepted_) loop_.gone(*this);
+  if (accepted_) loop_.unregisterAccepted(*this);
   try {
     watch(false, false);
     socket_.close();
-  } catch (const Poco::Exception&) {  // it is gone either way
+  } catch (const Poco::Exception&) {  // nothing more can be done: the connection counts as closed
   }
 }
 
@@ -85,10 +92,10 @@
 
 void Connection::end(ConnectionEnd why) {
   if (state_ == State::ended) return;
-  const bool tell = state_ != State::lingering;
+  const bool notifyOwner = state_ != State::lingering;
   const auto self = shared_from_this();
   release();
-  if (tell) owner_->onEnd(*this, why);
+  if (notifyOwner) owner_->onEnd(*this, why);
 }
 
 void Connection::closeGently() {
@@ -98,13 +105,13 @@
   linger();
 }
 
-// Lasts until the peer has closed or its time is up; the timer keeps the connection. A peer that reads slowly
-// gets the time to read the whole answer.
+// Lingers until the peer closes or the timeout expires; the timer keeps the connection alive. While output is
+// queued the longer timeout applies, so that a slow reader can read the whole answer.
 void Connection::linger() {
   if (flushed()) ::shutdown(fd(), SHUT_WR);
   loop_.cancel(timer_);
   const auto self = shared_from_this();
-  timer_ = loop_.after(flushed() ? kLinger : kSlowPeer, [self] { self->release(); });
+  timer_ = loop_.after(flushed() ? kLingerTimeoutNs : kSlowReaderTimeoutNs, [self] { self->release(); });
 }
 
 void Connection::write(std::string head, std::string body) {
@@ -115,7 +122,7 @@
     output_.push_back(std::move(*piece));
   }
   if (writable_) return;
-  if (!flush()) {  // reported from the loop: the caller is in the midst of something
+  if (!flush()) {  // reported from the loop, since the caller does not expect onEnd from within write()
     const std::weak_ptr<Connection> weak = weak_from_this();
     loop_.soon([weak] {
       if (const auto self = weak.lock()) self->end(ConnectionEnd::writeFailed);
@@ -125,7 +132,7 @@
 
 bool Connection::flush() {
   while (!output_.empty()) {
-    std::array<iovec, 16> pieces{};
+    std::array<iovec, kMaxGatheredPieces> pieces{};
     std::size_t count = 0;
     for (auto& piece : output_) {
       if (count == pieces.size()) break;
@@ -135,18 +142,18 @@
     msghdr message{};
     message.msg_iov = pieces.data();
     message.msg_iovlen = count;
-    const auto sent = ::sendmsg(fd(), &message, MSG_NOSIGNAL);  // writev, but without SIGPIPE
+    const auto sent = ::sendmsg(fd(), &message, MSG_NOSIGNAL);  // like writev, but without SIGPIPE
     if (sent < 0 && errno == EINTR) continue;
     if (sent < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) break;
     if (sent < 0) return false;
     written_ += static_cast<std::uint64_t>(sent);
-    auto left = static_cast<std::size_t>(sent);
-    while (!output_.empty() && left >= output_.front().size() - sentOfFirst_) {
-      left -= output_.front().size() - sentOfFirst_;
+    auto remaining = static_cast<std::size_t>(sent);
+    while (!output_.empty() && remaining >= output_.front().size() - sentOfFirst_) {
+      remaining -= output_.front().size() - sentOfFirst_;
       sentOfFirst_ = 0;
       output_.pop_front();
     }
-    sentOfFirst_ += left;
+    sentOfFirst_ += remaining;
   }
   watch(readable_, !output_.empty());
   return true;
@@ -155,7 +162,7 @@
 void Connection::onWritable(Poco::Net::WritableNotification* event) {
   event->release();
   const auto self = shared_from_this();
-  loop_.hearClients();  // what is written or comes up here may begin an attempt
+  loop_.pollClientsIfStale();  // an established or flushed connection may start an attempt
   if (state_ == State::ended) return;
   if (state_ == State::connecting) {
     int error = 0;
@@ -173,79 +180,82 @@
 }
 
 bool Connection::peerLeft() const {
-  if (sawEnd_ || state_ == State::ended) return true;
-  if (readable_ || state_ == State::connecting) return false;  // the loop will say so
-  pollfd look{fd(), POLLRDHUP, 0};
-  return ::poll(&look, 1, 0) > 0 && (look.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
+  if (receivedEnd_ || state_ == State::ended) return true;
+  if (readable_ || state_ == State::connecting) return false;  // the loop will report it
+  pollfd entry{fd(), POLLRDHUP, 0};
+  return ::poll(&entry, 1, 0) > 0 && (entry.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
 }
 
-// Reads on to where nothing waits: an end behind the last byte is seen together with it, and what a peer
-// asked for that has left meanwhile is not begun.
+// Reads until the socket is empty, so that a close behind the last byte is seen together with that byte. A
+// request whose client has already left is then not started.
 bool Connection::receive() {
   if (state_ == State::ended || state_ == State::connecting) return false;
-  std::array<char, 65536> chunk;
-  const auto before = input_.size();
-  while (input_.size() < kMostInput) {
-    const auto got = ::recv(fd(), chunk.data(), chunk.size(), 0);
-    if (got < 0 && errno == EINTR) continue;
-    if (got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) break;
-    if (got <= 0) {
-      sawEnd_ = got < 0 ? ConnectionEnd::reset : ConnectionEnd::peerClosed;
+  std::array<char, kReadChunkBytes> chunk;
+  const auto sizeBefore = input_.size();
+  while (input_.size() < kMaxInputBytes) {
+    const auto received = ::recv(fd(), chunk.data(), chunk.size(), 0);
+    if (received < 0 && errno == EINTR) continue;
+    if (received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) break;
+    if (received <= 0) {
+      receivedEnd_ = received < 0 ? ConnectionEnd::reset : ConnectionEnd::peerClosed;
       break;
     }
     if (state_ == State::lingering) {
-      // A peer that sends on at full speed must not keep the loop: a chunk a round, and only so many.
-      dropped_ += static_cast<std::size_t>(got);
-      if (dropped_ > kMostDropped) watch(false, writable_);
+      // A peer that keeps sending at full speed must not occupy the loop: one chunk is discarded per loop
+      // iteration, up to a total of kMaxDiscardedBytes.
+      discarded_ += static_cast<std::size_t>(received);
+      if (discarded_ > kMaxDiscardedBytes) watch(false, writable_);
       break;
     }
-    input_.append(chunk.data(), static_cast<std::size_t>(got));
+    input_.append(chunk.data(), static_cast<std::size_t>(received));
   }
-  return input_.size() > before;
+  return input_.size() > sizeBefore;
 }
 
 void Connection::onReadable(Poco::Net::ReadableNotification* event) {
   event->release();
   const auto self = shared_from_this();
-  loop_.hearClients();  // an answer here may lead to a further attempt, for this or any other request
+  loop_.pollClientsIfStale();  // an answer may lead to a further attempt, for any request
   read();
 }
 
-void Connection::hear(bool left) {
+void Connection::handlePolledInput(bool peerClosed) {
   if (state_ == State::ended) return;
   if (readable_) return read();
-  if (left && state_ == State::up) owner_->onLeft(*this);
+  if (peerClosed && state_ == State::up) owner_->onPeerClosedWhilePaused(*this);
 }
 
 void Connection::read() {
   if (state_ == State::ended) return;
-  const bool more = receive();
+  const bool receivedMore = receive();
   if (state_ == State::lingering) {
-    if (sawEnd_) release();
+    if (receivedEnd_) release();
     return;
   }
-  if (more) owner_->onData(*this);
+  if (receivedMore) owner_->onData(*this);
   if (state_ == State::ended) return;
-  if (sawEnd_) return end(*sawEnd_);
-  // A peer that sends on without waiting for answers is read no further until these have gone out.
-  if (input_.size() >= kMostInput) pause();
+  if (receivedEnd_) return end(*receivedEnd_);
+  // A peer that sends ahead without waiting for answers is not read beyond the input limit until its requests
+  // have been answered.
+  if (input_.size() >= kMaxInputBytes) pauseReading();
 }
 
-// Nothing tells of the end of a peer that is not read: it is looked for.
-void Connection::pause() {
+// While reading is paused the loop does not report that the peer has closed, so this is polled for by a
+// timer.
+void Connection::pauseReading() {
   watch(false, writable_);
   if (!accepted_ || timer_ != Loop::TimerId{}) return;
   const std::weak_ptr<Connection> weak = weak_from_this();
-  timer_ = loop_.after(kLookBehind, [weak] {
-    if (const auto self = weak.lock()) self->lookBehind();
+  timer_ = loop_.after(kPausedCheckIntervalNs, [weak] {
+    if (const auto self = weak.lock()) self->checkPausedPeer();
   });
 }
 
-void Connection::lookBehind() {
+void Connection::checkPausedPeer() {
   timer_ = {};
   if (state_ != State::up || readable_) return;
-  if (peerLeft()) owner_->onLeft(*this);
-  if (state_ == State::up && !readable_) pause();
+  if (peerLeft()) owner_->onPeerClosedWhilePaused(*this);
+  if (state_ == State::up && !readable_) pauseReading();
 }
 
 }  // namespace topazweir::net
--- a/src/net/connection.hpp
+++ b/src/net/connection.hpp
@@ -1,4 +1,4 @@
-// One TCP connection on the loop: buffered input, gathered writes, one end.
+// A non-blocking TCP connection on the event loop, with buffered input and gathered writes.
 #pragma once
 
 #include <Poco/Net/SocketAddress.h>
@@ -15,22 +15,29 @@
 
 namespace topazweir::net {
 
+// The owner is notified of each event. It must outlive the connection unless it has called close() or
+// closeGently(). Not thread-safe: all calls are made on the loop's thread.
 class Connection : public std::enable_shared_from_this<Connection> {
  public:
   class Owner {
    public:
     virtual ~Owner() = default;
+    // A connection made by connect() is established.
     virtual void onUp(Connection&) {}
-    virtual void onData(Connection& connection) = 0;  // there is new input()
-    virtual void onFlushed(Connection&) {}            // what had to wait has been taken by the socket
-    // An accepted connection's peer has left, and reading is put off: it is not ended by itself, since
-    // input() and what lies unread may still count. Told again while that stands.
-    virtual void onLeft(Connection&) {}
+    // input() has received more bytes.
+    virtual void onData(Connection& connection) = 0;
+    // Output that the socket did not accept at once has now been written in full.
+    virtual void onFlushed(Connection&) {}
+    // The peer of an accepted connection has closed it while reading is paused. The connection is not closed
+    // automatically, since input() and unread bytes may still matter. Called repeatedly while this holds.
+    virtual void onPeerClosedWhilePaused(Connection&) {}
+    // The connection has ended; called at most once.
     virtual void onEnd(Connection& connection, ConnectionEnd end) = 0;
   };
 
+  // Takes over an accepted socket.
   static std::shared_ptr<Connection> adopt(Loop& loop, const Poco::Net::StreamSocket& socket, Owner& owner);
-  // The end is always reported later, never from within this call.
+  // Starts connecting to `peer`. A failure is always reported from the loop, never from within this call.
   static std::shared_ptr<Connection> connect(Loop& loop, const Poco::Net::SocketAddress& peer, Nanos timeout,
                                              Owner& owner);
   ~Connection();
@@ -40,49 +47,59 @@
   bool up() const { return state_ == State::up; }
   bool ended() const { return state_ == State::ended; }
   bool lingering() const { return state_ == State::lingering; }
+  // Bytes received and not consumed yet; the owner erases what it has consumed.
   std::string& input() { return input_; }
-  // Written in one gathered write with whatever waits already; what the socket does not take follows later.
+  // Queues both pieces and writes them, with all earlier output, in one gathered write. What the socket does
+  // not accept now is written later.
   void write(std::string head, std::string body = {});
-  std::uint64_t queued() const { return queued_; }    // bytes ever handed to write()
-  std::uint64_t written() const { return written_; }  // of these, taken by the socket
+  std::uint64_t queued() const { return queued_; }    // total bytes passed to write()
+  std::uint64_t written() const { return written_; }  // of these, bytes accepted by the socket
   bool flushed() const { return queued_ == written_; }
-  // Reads what has arrived but was not seen yet; false: there was nothing.
+  // Reads bytes that have arrived but were not read yet. Returns false if there were none.
   bool readMore() { return receive(); }
-  // The peer has closed or broken it, and input() holds the last that it sent; where reading is put off, the
-  // end may stand behind what has not been read.
+  // True if the peer has closed or reset the connection and input() holds its last bytes. While reading is
+  // paused, unread bytes may still precede the end of the stream.
   bool peerLeft() const;
-  // What an accepted connection brings, out of its turn (Loop::hearClients). `left`: its peer has.
-  void hear(bool left);
+  // Handles readiness of an accepted connection found by Loop::pollClientsIfStale, ahead of its own event.
+  // `peerClosed`: the peer has closed or reset the connection.
+  void handlePolledInput(bool peerClosed);
   int fd() const { return socket_.impl()->sockfd(); }
-  // To be called after input has been used up: reading may have been put off.
+  // To be called after input() has been consumed: resumes reading if it was paused at the input limit.
   void resume() {
-    if (state_ == State::up && input_.size() < kMostInput) watch(true, writable_);
+    if (state_ == State::up && input_.size() < kMaxInputBytes) watch(true, writable_);
   }
-  void close();  // at once; no onEnd
-  // Writes what waits, ends the stream and lets the peer read it: unread input would turn into a reset that
-  // destroys the answer on its way. No onEnd.
+  // Closes the socket at once, without onEnd.
+  void close();
+  // Graceful shutdown without onEnd: writes the queued output, half-closes the stream and lingers until the
+  // peer has read it. Closing over unread input would send a reset, which can destroy an answer in transit.
   void closeGently();
-  // Ends it from here with a cause: onEnd is called, once.
+  // Closes the socket and reports `why` through onEnd, once.
   void end(ConnectionEnd why);
 
  private:
   enum class State { connecting, up, lingering, ended };
-  static constexpr Nanos kLinger = 1'000'000'000, kSlowPeer = 30'000'000'000;
-  static constexpr Nanos kLookBehind = 50'000'000;       // at a peer that is not read
-  static constexpr std::size_t kMostInput = 256 * 1024;  // read ahead; the socket's own buffer holds the rest
-  static constexpr std::size_t kMostDropped = 1024 * 1024;  // read and thrown away while lingering
+  // Longest linger for the peer to close, once all output has been written.
+  static constexpr Nanos kLingerTimeoutNs = 1'000'000'000;
+  // Longest linger while output is still queued: gives a slow reader time to read the whole answer.
+  static constexpr Nanos kSlowReaderTimeoutNs = 30'000'000'000;
+  // How often the peer is checked for a close while reading is paused.
+  static constexpr Nanos kPausedCheckIntervalNs = 50'000'000;
+  // Reading pauses at this much unconsumed input; the rest stays in the socket's own buffer.
+  static constexpr std::size_t kMaxInputBytes = 256 * 1024;
+  // Bytes read and discarded while lingering; after these the socket is no longer read.
+  static constexpr std::size_t kMaxDiscardedBytes = 1024 * 1024;
 
   Connection(Loop& loop, Poco::Net::StreamSocket socket, Owner& owner, State state)
       : loop_(loop), socket_(std::move(socket)), owner_(&owner), state_(state) {}
-  void connectTimedOut();
+  void onConnectTimeout();
   void watch(bool readable, bool writable);
   void onReadable(Poco::Net::ReadableNotification* event);
   void onWritable(Poco::Net::WritableNotification* event);
   void read();
   bool receive();
-  void pause();
-  void lookBehind();
-  bool flush();  // false: broken
+  void pauseReading();
+  void checkPausedPeer();
+  bool flush();  // returns false if the connection is broken
   void linger();
   void release();
 
@@ -90,14 +107,17 @@
   Poco::Net::StreamSocket socket_;
   Owner* owner_;
   State state_;
-  bool readable_ = false, writable_ = false;  // watched for
+  bool readable_ = false;  // registered for readable events
+  bool writable_ = false;  // registered for writable events
   bool accepted_ = false;
-  std::optional<ConnectionEnd> sawEnd_;
+  std::optional<ConnectionEnd> receivedEnd_;  // end of the stream, as seen by the last read
   Loop::TimerId timer_{};
   std::string input_;
   std::deque<std::string> output_;
-  std::size_t sentOfFirst_ = 0, dropped_ = 0;
-  std::uint64_t queued_ = 0, written_ = 0;
+  std::size_t sentOfFirst_ = 0;  // bytes of output_.front() that have been written
+  std::size_t discarded_ = 0;
+  std::uint64_t queued_ = 0;
+  std::uint64_t written_ = 0;
 };
 
 }  // namespace topazweir::net
--- a/src/net/connection_end.hpp
+++ b/src/net/connection_end.hpp
@@ -1,4 +1,4 @@
-// Every way in which a connection can end, and the one place that says what it means for an attempt.
+// The reasons for which a connection ends, and their mapping to the outcome of an attempt.
 #pragma once
 
 #include "topazweir/aggregator.hpp"
@@ -6,20 +6,21 @@
 namespace topazweir::net {
 
 enum class ConnectionEnd {
-  refused,         // nobody listens there
-  unreachable,     // no way there, or no descriptor left for it
-  connectTimeout,  // it did not come up in time
-  peerClosed,      // the peer ended it in order
-  reset,           // the peer, or its machine, broke it
-  writeFailed,     // it broke while something was being written
-  badPeer,         // the peer answered with what cannot be understood: closed from here
-  beside,          // the same, but it was another attempt's answer: no fault of this one, nor of the server
-  silent,          // nothing came on it for far longer than answers take: closed from here
-  peerFault,       // the peer says that it could not understand us, and closes
-  replaced,        // the process behind it has been restarted since: closed from here
-  closedHere       // no longer needed
+  refused,         // the peer's host refused the connection
+  unreachable,     // no route to the peer, or out of descriptors
+  connectTimeout,  // the connection was not established in time
+  peerClosed,      // the peer closed it in an orderly way
+  reset,           // the peer or its host reset it
+  writeFailed,     // a write failed
+  badPeer,         // the peer violated the protocol; closed locally
+  beside,          // as badPeer, but the fault is in another attempt's answer, not in this one or the server
+  silent,          // the peer was unresponsive for far longer than answers take; closed locally
+  peerFault,       // the peer reported a protocol violation by this side and closed
+  replaced,        // the peer's process has been restarted since; closed locally
+  closedHere       // closed locally, no longer needed
 };
 
+// The name that is logged.
 constexpr const char* nameOf(ConnectionEnd end) {
   constexpr const char* kNames[] = {"refused", "unreachable",  "connect_timeout", "peer_closed",
                                     "reset",   "write_failed", "bad_peer",        "beside",
@@ -27,8 +28,8 @@
   return kNames[static_cast<int>(end)];
 }
 
-// What it means for an attempt on that connection. `written`: the last byte of its request had been written;
-// until then the peer cannot have run it.
+// The outcome of an attempt whose connection ended. `written`: the last byte of its request had been written;
+// before that the peer cannot have executed it.
 constexpr Outcome outcomeOf(ConnectionEnd end, bool written) {
   switch (end) {
     case ConnectionEnd::refused:
@@ -40,9 +41,9 @@
     case ConnectionEnd::writeFailed:
     case ConnectionEnd::peerFault:
       return written ? Outcome::reset : Outcome::connectFailed;
-    case ConnectionEnd::replaced:  // the new process is not to blame for it
+    case ConnectionEnd::replaced:  // the new process is not at fault
       return written ? Outcome::reset : Outcome::notSent;
-    case ConnectionEnd::badPeer:  // it runs, and may have run this; a reset would say that it has died
+    case ConnectionEnd::badPeer:  // the peer runs and may have executed it; reset would mean that it died
       return written ? Outcome::error : Outcome::notSent;
     case ConnectionEnd::silent:
       return written ? Outcome::timedOut : Outcome::notSent;
--- a/src/net/datagrams.cpp
+++ b/src/net/datagrams.cpp
@@ -7,8 +7,8 @@
 
 using Observer = Poco::Observer<Datagrams, Poco::Net::ReadableNotification>;
 
-Datagrams::Datagrams(Loop& loop, const Poco::Net::SocketAddress& address, Taken taken)
-    : loop_(loop), taken_(std::move(taken)), socket_(address, false), buffer_(kMost, '\0') {
+Datagrams::Datagrams(Loop& loop, const Poco::Net::SocketAddress& address, ReceiveHandler onReceive)
+    : loop_(loop), onReceive_(std::move(onReceive)), socket_(address, false), buffer_(kMost, '\0') {
   socket_.setBlocking(false);
   loop_.addEventHandler(socket_, Observer(*this, &Datagrams::onReadable));
 }
@@ -18,23 +18,23 @@
 bool Datagrams::send(std::string_view bytes, const Poco::Net::SocketAddress& to) {
   try {
     return socket_.sendTo(bytes.data(), static_cast<int>(bytes.size()), to) == static_cast<int>(bytes.size());
-  } catch (const Poco::Exception&) {  // no room, no route: as if it had been lost on the way
+  } catch (const Poco::Exception&) {  // buffer full or no route: the same as a datagram lost in transit
     return false;
   }
 }
 
 void Datagrams::onReadable(Poco::Net::ReadableNotification* event) {
   event->release();
-  for (int i = 0; i < kMostATurn; ++i) {
+  for (int i = 0; i < kMaxDatagramsPerEvent; ++i) {
     Poco::Net::SocketAddress from;
     int size = -1;
     try {
       size = socket_.receiveFrom(buffer_.data(), static_cast<int>(buffer_.size()), from);
-    } catch (const Poco::Exception&) {  // a report on an earlier one that did not arrive
+    } catch (const Poco::Exception&) {  // an ICMP error for a datagram sent earlier
       continue;
     }
     if (size < 0) return;
-    taken_(std::string_view(buffer_.data(), static_cast<std::size_t>(size)), from);
+    onReceive_(std::string_view(buffer_.data(), static_cast<std::size_t>(size)), from);
   }
 }
 
--- a/src/net/datagrams.hpp
+++ b/src/net/datagrams.hpp
@@ -1,4 +1,4 @@
-// A UDP socket on the loop.
+// A non-blocking UDP socket on the event loop.
 #pragma once
 
 #include <Poco/Net/DatagramSocket.h>
@@ -14,26 +14,28 @@
 
 class Datagrams {
  public:
-  using Taken = std::function<void(std::string_view bytes, const Poco::Net::SocketAddress& from)>;
+  using ReceiveHandler = std::function<void(std::string_view bytes, const Poco::Net::SocketAddress& from)>;
 
-  // Throws Poco::Exception where the address can't be had.
-  Datagrams(Loop& loop, const Poco::Net::SocketAddress& address, Taken taken);
+  // Binds to `address`; throws Poco::Exception if that fails.
+  Datagrams(Loop& loop, const Poco::Net::SocketAddress& address, ReceiveHandler onReceive);
   ~Datagrams();
   Datagrams(const Datagrams&) = delete;
   Datagrams& operator=(const Datagrams&) = delete;
 
-  // False: the machine did not take it. It may be lost in any case.
+  // Returns false if the local network stack did not accept the datagram. Delivery is never guaranteed.
   bool send(std::string_view bytes, const Poco::Net::SocketAddress& to);
   Poco::Net::SocketAddress address() const { return socket_.address(); }
 
-  static constexpr std::size_t kMost = 65'507;  // bytes of one over IPv4
-  static constexpr int kMostATurn = 256;        // read at once: the rest waits for the loop's other work
+  // Largest payload of a datagram over IPv4.
+  static constexpr std::size_t kMost = 65'507;
+  // Datagrams read per readable event; further ones wait so that other events of the loop are handled.
+  static constexpr int kMaxDatagramsPerEvent = 256;
 
  private:
   void onReadable(Poco::Net::ReadableNotification* event);
 
   Loop& loop_;
-  Taken taken_;
+  ReceiveHandler onReceive_;
   Poco::Net::DatagramSocket socket_;
   std::string buffer_;
 };
--- a/src/net/inherited_socket.cpp
+++ b/src/net/inherited_socket.cpp
@@ -10,27 +10,31 @@
 
 namespace {
 
-// Poco has no public way to make a server socket of a descriptor.
-class Adopted : public Poco::Net::ServerSocketImpl {
+// Poco has no public way to make a server socket from a descriptor.
+class AdoptedSocketImpl : public Poco::Net::ServerSocketImpl {
  public:
-  explicit Adopted(int descriptor) { reset(descriptor); }
+  explicit AdoptedSocketImpl(int descriptor) { reset(descriptor); }
 };
 
 class AdoptedSocket : public Poco::Net::ServerSocket {
  public:
-  explicit AdoptedSocket(int descriptor) : ServerSocket(new Adopted(descriptor), true) {}
+  explicit AdoptedSocket(int descriptor) : ServerSocket(new AdoptedSocketImpl(descriptor), true) {}
 };
 
 }  // namespace
 
 std::optional<std::string> inheritedFault(int descriptor) {
-  const auto option = [&](int name, int& value) {
+  const auto readOption = [&](int name, int& value) {
     socklen_t size = sizeof value;
     return ::getsockopt(descriptor, SOL_SOCKET, name, &value, &size) == 0;
   };
-  int listening = 0, type = 0, domain = 0;
-  if (!option(SO_ACCEPTCONN, listening)) return std::string(errno == EBADF ? "is not open" : "is no socket");
-  if (!option(SO_TYPE, type) || type != SOCK_STREAM || !option(SO_DOMAIN, domain) || domain != AF_INET)
+  int listening = 0;
+  int type = 0;
+  int domain = 0;
+  if (!readOption(SO_ACCEPTCONN, listening))
+    return std::string(errno == EBADF ? "is not open" : "is no socket");
+  if (!readOption(SO_TYPE, type) || type != SOCK_STREAM || !readOption(SO_DOMAIN, domain) ||
+      domain != AF_INET)
     return std::string("is no TCP socket over IPv4");
   if (listening == 0) return std::string("is no listening socket");
   return std::nullopt;
--- a/src/net/inherited_socket.hpp
+++ b/src/net/inherited_socket.hpp
@@ -1,4 +1,4 @@
-// A listening socket that the process was started with.
+// A listening socket inherited as a file descriptor from the parent process.
 #pragma once
 
 #include <Poco/Net/ServerSocket.h>
@@ -8,10 +8,10 @@
 
 namespace topazweir::net {
 
-// What is wrong with the descriptor as a listening TCP socket over IPv4; none: it is one.
+// Checks that the descriptor is a listening TCP socket over IPv4. Returns the fault, or nullopt if it is one.
 std::optional<std::string> inheritedFault(int descriptor);
 
-// The socket takes the descriptor over and closes it in the end.
+// Wraps the descriptor; the returned socket owns and closes it.
 Poco::Net::ServerSocket inheritedSocket(int descriptor);
 
 }  // namespace topazweir::net
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -5,8 +5,8 @@
 namespace topazweir::net {
 
 Listener::Listener(Loop& loop, const Poco::Net::SocketAddress& address, int backlog,
-                   std::function<void()> waits)
-    : loop_(loop), waits_(std::move(waits)) {
+                   std::function<void()> onPending)
+    : loop_(loop), onPending_(std::move(onPending)) {
   socket_.bind(address, true, false);
   socket_.listen(backlog);
   socket_.setBlocking(false);
@@ -22,7 +22,7 @@
 
 void Listener::onReadable(Poco::Net::ReadableNotification* event) {
   event->release();
-  waits_();
+  onPending_();
 }
 
 std::optional<Poco::Net::StreamSocket> Listener::accept() {
--- a/src/net/listener.hpp
+++ b/src/net/listener.hpp
@@ -1,4 +1,4 @@
-// A listening TCP socket on the loop: says when somebody waits, and is asked for who it is.
+// A listening TCP socket on the event loop. It reports pending connections; the owner calls accept().
 #pragma once
 
 #include <Poco/Net/ServerSocket.h>
@@ -13,16 +13,17 @@
 
 class Listener {
  public:
-  // Never shared with a further process, which would take half of the connections. Throws Poco::Exception
-  // where the address can't be had. `waits`: somebody may be waiting; called again until watching ends or
-  // accept() has given out all.
-  Listener(Loop& loop, const Poco::Net::SocketAddress& address, int backlog, std::function<void()> waits);
+  // Binds and listens; throws Poco::Exception if that fails. The port is not shared with another process,
+  // which would receive half of the connections. `onPending` is called while connections may be pending,
+  // until watch(false) or until accept() has returned all of them.
+  Listener(Loop& loop, const Poco::Net::SocketAddress& address, int backlog, std::function<void()> onPending);
   ~Listener() { watch(false); }
   Listener(const Listener&) = delete;
   Listener& operator=(const Listener&) = delete;
 
+  // Turns the reporting of pending connections on or off.
   void watch(bool on);
-  // None: nobody waits. Throws Poco::Exception where no descriptor is left.
+  // Returns nullopt if no connection is pending. Throws Poco::Exception when out of descriptors.
   std::optional<Poco::Net::StreamSocket> accept();
   Poco::Net::SocketAddress address() const { return socket_.address(); }
 
@@ -30,7 +31,7 @@
   void onReadable(Poco::Net::ReadableNotification* event);
 
   Loop& loop_;
-  std::function<void()> waits_;
+  std::function<void()> onPending_;
   Poco::Net::ServerSocket socket_;
   bool watching_ = false;
 };
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -13,10 +13,10 @@
 
 namespace {
 
-constexpr Nanos kMillisecond = 1'000'000;
-constexpr Nanos kLongestPoll = 100 * kMillisecond;
+constexpr Nanos kMillisecondNs = 1'000'000;
+constexpr Nanos kMaxPollTimeoutNs = 100 * kMillisecondNs;
 
-Nanos steady() {
+Nanos steadyNow() {
   return std::chrono::duration_cast<std::chrono::nanoseconds>(
              std::chrono::steady_clock::now().time_since_epoch())
       .count();
@@ -24,91 +24,95 @@
 
 }  // namespace
 
-Loop::Loop() : SocketReactor(Poco::Timespan(kLongestPoll / 1000)) {
-  const auto unix = std::chrono::system_clock::now().time_since_epoch();
-  offset_ = std::chrono::duration_cast<std::chrono::nanoseconds>(unix).count() - steady();
-  heardAt_ = polledAt_ = now();
+Loop::Loop() : SocketReactor(Poco::Timespan(kMaxPollTimeoutNs / 1000)) {
+  const auto unixTime = std::chrono::system_clock::now().time_since_epoch();
+  offset_ = std::chrono::duration_cast<std::chrono::nanoseconds>(unixTime).count() - steadyNow();
+  handledUntil_ = polledAt_ = now();
 }
 
-// What a timer holds may cancel timers as it goes, such as a connection that still lingers at the end: it
-// goes while the loop is whole.
-Loop::~Loop() { const auto last = std::exchange(timers_, {}); }
+// Destroying a timer's callback may cancel other timers, e.g. through a connection that is still lingering.
+// The callbacks are therefore destroyed while all members of the loop still exist.
+Loop::~Loop() { const auto remaining = std::exchange(timers_, {}); }
 
-Nanos Loop::now() const { return steady() + offset_; }
+Nanos Loop::now() const { return steadyNow() + offset_; }
 
-Loop::TimerId Loop::at(Nanos when, std::function<void()> what) {
-  const TimerId id{when, ++last_};
-  timers_.emplace(id, std::move(what));
-  if (timers_.begin()->first == id) adjust();
+Loop::TimerId Loop::at(Nanos when, std::function<void()> callback) {
+  const TimerId id{when, ++lastTimerNumber_};
+  timers_.emplace(id, std::move(callback));
+  if (timers_.begin()->first == id) updatePollTimeout();
   return id;
 }
 
 void Loop::cancel(const TimerId& id) { timers_.erase(id); }
 
-// Some sockets have events: they are dealt with behind the timers.
+// Called by the reactor when sockets have events, which are handled after the timers.
 void Loop::onBusy() {
-  heardAt_ = std::max(heardAt_, polledAt_);
+  handledUntil_ = std::max(handledUntil_, polledAt_);
   polledAt_ = now();
-  busy_ = true;
-  fire();
+  handlingEvents_ = true;
+  runDueTimers();
 }
 
-// No socket had an event, or all that had have been dealt with.
+// Called by the reactor when no socket had an event, or when all socket events have been handled.
 void Loop::onTimeout() {
-  if (!std::exchange(busy_, false)) polledAt_ = now();
-  heardAt_ = std::max(heardAt_, polledAt_);
-  fire();
+  if (!std::exchange(handlingEvents_, false)) polledAt_ = now();
+  handledUntil_ = std::max(handledUntil_, polledAt_);
+  runDueTimers();
 }
 
-bool Loop::hearClients() {
-  if (hearing_ || now() - heardAt_ <= kUnheard) return false;
-  std::vector<pollfd> looks;
+bool Loop::pollClientsIfStale() {
+  if (pollingClients_ || now() - handledUntil_ <= kMaxClientPollAgeNs) return false;
+  std::vector<pollfd> polled;
   std::vector<std::shared_ptr<Connection>> clients;
-  looks.reserve(accepted_.size());
+  polled.reserve(accepted_.size());
   clients.reserve(accepted_.size());
   for (auto* connection : accepted_) {
-    looks.push_back({connection->fd(), POLLIN | POLLRDHUP, 0});
+    polled.push_back({connection->fd(), POLLIN | POLLRDHUP, 0});
     clients.push_back(connection->shared_from_this());
   }
-  hearing_ = true;
-  const std::shared_ptr<void> whole(nullptr, [this](void*) {
-    heardAt_ = now();  // not earlier: a look that takes long must not lead to the next one at once
-    hearing_ = false;
+  pollingClients_ = true;
+  const std::shared_ptr<void> onReturn(nullptr, [this](void*) {
+    handledUntil_ = now();  // taken at the end, so that a slow poll does not trigger the next one at once
+    pollingClients_ = false;
   });
-  if (::poll(looks.data(), looks.size(), 0) <= 0) return true;
-  for (std::size_t i = 0; i < looks.size(); ++i)
-    if (looks[i].revents != 0) clients[i]->hear((looks[i].revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0);
+  if (::poll(polled.data(), polled.size(), 0) <= 0) return true;
+  for (std::size_t i = 0; i < polled.size(); ++i)
+    if (polled[i].revents != 0)
+      clients[i]->handlePolledInput((polled[i].revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0);
   return true;
 }
 
-void Loop::fire() {
-  hearClients();  // first: the turns that wait for it are run in this round
-  // Timers set from here on wait for the next round: a timer that sets itself anew must not starve sockets.
-  const auto latest = last_;
-  const Nanos until = now();
-  for (auto at = timers_.begin(); at != timers_.end() && at->first.first <= until;) {
-    if (at->first.second > latest) {
-      ++at;
+void Loop::runDueTimers() {
+  pollClientsIfStale();  // first: turns put off during it run in this iteration
+  // Timers added from here on wait for the next iteration: a timer that re-arms itself must not starve the
+  // socket events.
+  const auto newestTimer = lastTimerNumber_;
+  const Nanos dueBy = now();
+  for (auto next = timers_.begin(); next != timers_.end() && next->first.first <= dueBy;) {
+    if (next->first.second > newestTimer) {
+      ++next;
       continue;
     }
-    if (hearClients()) {  // an earlier one took long
-      at = timers_.begin();
+    if (pollClientsIfStale()) {  // an earlier timer took long
+      next = timers_.begin();
       continue;
     }
-    const auto what = std::move(at->second);
-    timers_.erase(at);
-    what();
-    at = timers_.begin();  // it may have set or cancelled any other
+    const auto callback = std::move(next->second);
+    timers_.erase(next);
+    callback();
+    next = timers_.begin();  // the callback may have added or cancelled any timer
   }
-  adjust();
+  updatePollTimeout();
 }
 
-// The poll counts in whole milliseconds and rounds down: rounded up here, or the loop would spin.
-void Loop::adjust() {
-  Nanos wait = timers_.empty() ? kLongestPoll
-                               : std::clamp<Nanos>(timers_.begin()->first.first - now(), 0, kLongestPoll);
-  wait = (wait + kMillisecond - 1) / kMillisecond * kMillisecond;
-  setTimeout(Poco::Timespan(wait / 1000));
+// The poll takes whole milliseconds and rounds down. The timeout is rounded up here, or the loop would spin
+// until the next timer is due.
+void Loop::updatePollTimeout() {
+  Nanos timeout = timers_.empty()
+                      ? kMaxPollTimeoutNs
+                      : std::clamp<Nanos>(timers_.begin()->first.first - now(), 0, kMaxPollTimeoutNs);
+  timeout = (timeout + kMillisecondNs - 1) / kMillisecondNs * kMillisecondNs;
+  setTimeout(Poco::Timespan(timeout / 1000));
 }
 
 }  // namespace topazweir::net
--- a/src/net/loop.hpp
+++ b/src/net/loop.hpp
@@ -1,5 +1,5 @@
-// The one loop of the program: Poco's SocketReactor with timers. The poll's time-out is the next timer's, and
-// never Poco's default of 250 ms, which would let deadlines slip.
+// The program's event loop: Poco's SocketReactor with timers. The poll timeout is set to the next timer
+// instead of Poco's default of 250 ms, which would make deadlines fire late.
 #pragma once
 
 #include <Poco/Net/SocketReactor.h>
@@ -15,32 +15,39 @@
 
 class Connection;
 
+// Not thread-safe: all calls are made on the thread that runs the loop.
 class Loop : public Poco::Net::SocketReactor {
  public:
   using TimerId = std::pair<Nanos, std::uint64_t>;
 
   Loop();
   ~Loop() override;
-  // Unix time as it was at the start, carried on by the steady clock: it never goes back, and the start times
-  // that lists name can be compared with it.
+  // Unix time in nanoseconds, read once at start and advanced by the steady clock. It never goes back and can
+  // be compared with the start times in server lists.
   Nanos now() const;
-  TimerId at(Nanos when, std::function<void()> what);
-  TimerId after(Nanos wait, std::function<void()> what) { return at(now() + wait, std::move(what)); }
+  // Runs a function once at a time of now(), or after a delay.
+  TimerId at(Nanos when, std::function<void()> callback);
+  TimerId after(Nanos delay, std::function<void()> callback) {
+    return at(now() + delay, std::move(callback));
+  }
+  // Cancels a timer; no effect if it has already fired.
   void cancel(const TimerId& id);
-  // Runs it once the current socket event has been dealt with.
-  void soon(std::function<void()> what) { at(0, std::move(what)); }
+  // Runs a function after the current socket event has been handled.
+  void soon(std::function<void()> callback) { at(0, std::move(callback)); }
 
-  // Guards clients that have left while the loop stood still (a stopped process, a long turn): a timer or a
-  // server's answer of the same round would go on for them, since the sockets' events come in any order and
-  // behind the timers. With the last look at clients more than kUnheard ago, all accepted connections are
-  // looked at once and what they bring is dealt with; called ahead of each timer and of each connection's
-  // event. Costs a look at the clock else. True: they have been looked at.
-  bool hearClients();
-  // What comes now are clients, one after the other: nothing is begun for any of them before all are heard.
-  bool hearing() const { return hearing_; }
-  // The accepted connections; each takes itself off in the end.
-  void accepted(Connection& connection) { accepted_.insert(&connection); }
-  void gone(Connection& connection) { accepted_.erase(&connection); }
+  // Prevents work for clients that disconnected while the loop was stalled (a stopped process, a long turn).
+  // Timers run before socket events, and socket events come in any order, so a timer or a server's answer
+  // could otherwise start work for such a client in the same iteration. If the accepted connections were last
+  // polled more than kMaxClientPollAgeNs ago, polls all of them once and handles their input. Called before
+  // each timer and each connection event; otherwise costs only a read of the clock. Returns true if it
+  // polled.
+  bool pollClientsIfStale();
+  // True while pollClientsIfStale handles input. No work is started until the input of all clients is
+  // handled.
+  bool pollingClients() const { return pollingClients_; }
+  // The set of accepted connections to poll; each connection unregisters itself when it ends.
+  void registerAccepted(Connection& connection) { accepted_.insert(&connection); }
+  void unregisterAccepted(Connection& connection) { accepted_.erase(&connection); }
 
  protected:
   void onBusy() override;
@@ -48,19 +55,22 @@
   void onIdle() override { onTimeout(); }
 
  private:
-  // Half of the 0.1 s after which nothing may begin for a client that has left.
-  static constexpr Nanos kUnheard = 50'000'000;
+  // Half of the 0.1 s after which no work may be started for a client that has disconnected.
+  static constexpr Nanos kMaxClientPollAgeNs = 50'000'000;
 
-  void fire();
-  void adjust();
+  void runDueTimers();
+  void updatePollTimeout();
 
-  Nanos offset_ = 0;
-  std::uint64_t last_ = 0;
+  Nanos offset_ = 0;  // of Unix time from the steady clock
+  std::uint64_t lastTimerNumber_ = 0;
   std::map<TimerId, std::function<void()>> timers_;
   std::set<Connection*> accepted_;
-  Nanos heardAt_ = 0;   // what clients had done by then is known here
-  Nanos polledAt_ = 0;  // what they had done by then is known once this round's events have been dealt with
-  bool busy_ = false, hearing_ = false;
+  // Client activity up to this time has been handled.
+  Nanos handledUntil_ = 0;
+  // Client activity up to this time is handled once the events of the current iteration are.
+  Nanos polledAt_ = 0;
+  bool handlingEvents_ = false;  // the current iteration has socket events
+  bool pollingClients_ = false;
 };
 
 }  // namespace topazweir::net
--- a/src/net/loop_clock.hpp
+++ b/src/net/loop_clock.hpp
@@ -1,4 +1,4 @@
-// The core's clock on the loop.
+// The broker's clock and wake-up timer, implemented on the event loop.
 #pragma once
 
 #include <functional>
@@ -13,14 +13,14 @@
 class LoopClock : public broker::Clock {
  public:
   LoopClock(Loop& loop, std::function<void()> wake) : loop_(loop), wake_(std::move(wake)) {}
-  // A core may end before the loop does, when a new configuration has replaced it: nothing wakes it any more.
+  // A broker that a new configuration replaces is destroyed before the loop: its timers must not fire later.
   ~LoopClock() override {
     for (const auto& timer : timers_) loop_.cancel(timer);
   }
   LoopClock(const LoopClock&) = delete;
   LoopClock& operator=(const LoopClock&) = delete;
   Nanos now() const override { return loop_.now(); }
-  bool gathering() const override { return loop_.hearing(); }
+  bool gathering() const override { return loop_.pollingClients(); }
   void wakeAt(Nanos at) override {
     const auto timer = std::make_shared<Loop::TimerId>();
     *timer = loop_.at(at, [this, timer] {
@@ -33,7 +33,8 @@
  private:
   Loop& loop_;
   std::function<void()> wake_;
-  std::set<Loop::TimerId> timers_;  // a few: the core asks only for moments earlier than the one it waits for
+  // Pending wake-ups. There are few: the broker only asks for times earlier than its next wake-up.
+  std::set<Loop::TimerId> timers_;
 };
 
 }  // namespace topazweir::net
