--- a/src/telemetry/json_text.cpp
+++ b/src/telemetry/json_text.cpp
@@ -3,13 +3,14 @@
 namespace topazweir::telemetry {
 
 std::string jsonText(std::string_view text) {
-  constexpr std::string_view kHex = "0123456789abcdef";
+  constexpr std::string_view kHexDigits = "0123456789abcdef";
   std::string out = "\"";
   for (const char c : text) {
     const auto byte = static_cast<unsigned char>(c);
     if (byte < 0x20) {
       out += "\\u00";
-      out += kHex[byte >> 4], out += kHex[byte & 15];
+      out += kHexDigits[byte >> 4];
+      out += kHexDigits[byte & 15];
       continue;
     }
     if (c == '"' || c == '\\') out += '\\';
--- a/src/telemetry/json_text.hpp
+++ b/src/telemetry/json_text.hpp
@@ -1,4 +1,4 @@
-// A text as a JSON string, quotes included.
+// JSON string literals.
 #pragma once
 
 #include <string>
@@ -6,6 +6,7 @@
 
 namespace topazweir::telemetry {
 
+// Returns the text as a JSON string literal, including the quotes. Bytes from 0x80 on are copied unchanged.
 std::string jsonText(std::string_view text);
 
 }  // namespace topazweir::telemetry
--- a/src/telemetry/log_writer.cpp
+++ b/src/telemetry/log_writer.cpp
@@ -15,12 +15,13 @@
 
 namespace {
 
-struct Row {
+struct EventLevel {
   std::string_view event;
   Level level;
 };
-// What is not named here is info.
-constexpr std::array<Row, 22> kLevels = {{
+
+// Levels of log events. An event that is not listed here has level info.
+constexpr std::array<EventLevel, 22> kLevels = {{
     {"attempt.not_sent", Level::error},
     {"request.overdue", Level::error},
     {"config.reread_failed", Level::error},
@@ -45,29 +46,36 @@
     {"node.connection_ended", Level::warning},
 }};
 
-constexpr std::array<std::string_view, 4> kNames = {"debug", "info", "warning", "error"};
+// Names of the levels, in the order of Level.
+constexpr std::array<std::string_view, 4> kLevelNames = {"debug", "info", "warning", "error"};
 
-std::string timeText(std::int64_t unixNanos) {
+// Formats Unix time as RFC 3339 in UTC, with milliseconds.
+std::string formatTime(std::int64_t unixNanos) {
   const auto seconds = std::chrono::sys_seconds(std::chrono::seconds(unixNanos / 1'000'000'000));
   return fmt::format("{:%Y-%m-%dT%H:%M:%S}.{:03}Z", seconds, unixNanos / 1'000'000 % 1000);
 }
 
-bool isKey(std::string_view key) {
+// Keys consist of lower-case letters, digits and underscores.
+bool isValidKey(std::string_view key) {
   return !key.empty() && std::all_of(key.begin(), key.end(), [](char c) {
     return (c >= 'a' && c <= 'z') || (c >= '0' && c <= '9') || c == '_';
   });
 }
 
-// "words key=value ..." taken apart. A value in quotes may hold blanks; "why=" takes all that follows.
-void takeApart(std::string_view words, std::string& text,
-               std::vector<std::pair<std::string, std::string>>& pairs) {
+// Splits "text key=value ..." into the free text and the key-value pairs. A quoted value may contain blanks;
+// the value of "why=" is the whole rest of the line.
+void splitPairs(std::string_view words, std::string& text,
+                std::vector<std::pair<std::string, std::string>>& pairs) {
   while (!words.empty()) {
     auto end = std::min(words.find(' '), words.size());
     const auto equals = words.substr(0, end).find('=');
-    if (equals != std::string_view::npos && isKey(words.substr(0, equals))) {
+    if (equals != std::string_view::npos && isValidKey(words.substr(0, equals))) {
       const auto key = words.substr(0, equals);
       auto value = words.substr(equals + 1, end - equals - 1);
-      if (key == "why") end = words.size(), value = words.substr(equals + 1);
+      if (key == "why") {
+        end = words.size();
+        value = words.substr(equals + 1);
+      }
       if (!value.empty() && value.front() == '"' && key != "why") {
         const auto close = std::min(words.find('"', equals + 2), words.size());
         value = words.substr(equals + 2, close - equals - 2);
@@ -85,23 +93,23 @@
 
 Level levelOf(std::string_view event) {
   const auto at =
-      std::find_if(kLevels.begin(), kLevels.end(), [&](const Row& r) { return r.event == event; });
+      std::find_if(kLevels.begin(), kLevels.end(), [&](const EventLevel& r) { return r.event == event; });
   return at == kLevels.end() ? Level::info : at->level;
 }
 
 std::string format(const LogOptions& options, std::string_view event, std::string_view words,
                    std::int64_t now) {
-  const auto level = kNames[static_cast<std::size_t>(levelOf(event))];
+  const auto level = kLevelNames[static_cast<std::size_t>(levelOf(event))];
   if (options.format == Format::text) {
-    std::string out = options.time ? fmt::format("{} {} ", timeText(now), level) : "";
+    std::string out = options.time ? fmt::format("{} {} ", formatTime(now), level) : "";
     out += event;
     if (!words.empty()) out.append(" ").append(words);
     return out;
   }
   std::string text;
   std::vector<std::pair<std::string, std::string>> pairs;
-  takeApart(words, text, pairs);
-  auto out = fmt::format(R"({{"ts":"{}","level":"{}","event":{})", timeText(now), level, jsonText(event));
+  splitPairs(words, text, pairs);
+  auto out = fmt::format(R"({{"ts":"{}","level":"{}","event":{})", formatTime(now), level, jsonText(event));
   if (!text.empty()) out += R"(,"text":)" + jsonText(text);
   for (const auto& [key, value] : pairs) out += "," + jsonText(key) + ":" + jsonText(value);
   return out + "}";
--- a/src/telemetry/log_writer.hpp
+++ b/src/telemetry/log_writer.hpp
@@ -1,8 +1,9 @@
-// Where the program's log goes and in what form: spdlog behind `broker::Log`'s rate limit.
+// Formats log lines and writes them to standard error through spdlog. Lines have already passed the rate
+// limit of `broker::Log`.
 //
-// text: "EVENT words key=value ..." as docs/oncall.md lists them, with the level and the time before it where
-// asked for. json: one object a line: "ts" (RFC 3339, UTC), "level", "event", each key=value as a member of
-// its own, the other words under "text".
+// Format `text`: "EVENT words key=value ...", with the events of docs/oncall.md, preceded by the time and the
+// level if LogOptions::time is set. Format `json`: one object per line with "ts" (RFC 3339, UTC), "level" and
+// "event", each key=value pair as a member of its own, and the remaining words under "text".
 #pragma once
 
 #include <memory>
@@ -20,20 +21,21 @@
 
 struct LogOptions {
   Format format = Format::text;
-  Level level = Level::info;  // what is below is not written
-  bool time = false;          // text: with the time before each line
+  Level level = Level::info;  // events below this level are not written
+  bool time = false;          // format text: time and level precede each line
   bool operator==(const LogOptions&) const = default;
 };
 
-// How much an event of docs/oncall.md matters.
+// The level of a log event.
 Level levelOf(std::string_view event);
-// One line of either form, without its end.
+// Formats a log line, without the line break.
 std::string format(const LogOptions& options, std::string_view event, std::string_view words,
                    std::int64_t unixNanos);
 
 class LogWriter {
  public:
-  explicit LogWriter(LogOptions options);  // to standard error
+  explicit LogWriter(LogOptions options);
+  // Replaces the options for the following lines.
   void use(const LogOptions& options) { options_ = options; }
   void write(std::string_view event, std::string_view words);
 
