--- a/examples/consumer/main.cpp
+++ b/examples/consumer/main.cpp
@@ -1,4 +1,5 @@
-// Hands one query with one part to an aggregator and prints where the part goes.
+// Minimal use of the installed library: passes a server list and a query with one part to an aggregator and
+// prints the server that the part is sent to.
 #include <cstdio>
 #include <topazweir/aggregator.hpp>
 
--- a/tests/cuts.hpp
+++ b/tests/cuts.hpp
@@ -1,4 +1,5 @@
-// The one helper for parsers: feeds a message in random pieces, and random garbage, from fixed seeds.
+// Helpers for parser tests: split messages at every byte and at random, and feed random garbage, from fixed
+// seeds.
 #pragma once
 
 #include <functional>
@@ -10,10 +11,10 @@
 
 namespace topazweir::test {
 
-// `parse` is given the pieces of a message one after the other and returns what it made of them at the end,
-// as text. However the message is cut, that must be what the whole message gives.
+// Feeds the pieces of a message to a parser in order and returns a textual description of the result.
 using Parse = std::function<std::string(const std::vector<std::string>& pieces)>;
 
+// Checks that the result does not depend on how the message is split.
 inline void sameAtEveryCut(const std::string& message, const Parse& parse) {
   const std::string whole = parse({message});
   CHECK(!whole.empty());
@@ -28,7 +29,8 @@
   }
 }
 
-// Valid messages with bytes changed, and bytes without any sense: nothing may crash or hang.
+// Feeds messages with changed bytes and random bytes: the parser must not crash, hang or produce unbounded
+// output.
 inline void survivesGarbage(const std::string& message, const Parse& parse) {
   std::mt19937 random(11);
   for (int round = 0; round < 2000; ++round) {
--- a/tests/parsers_test.cpp
+++ b/tests/parsers_test.cpp
@@ -1,4 +1,6 @@
-// The project's own parsers: HTTP messages, frames, lists, queries and pages.
+// Tests of the project's parsers: HTTP messages, node protocol frames, server lists, queries and GeoJSON
+// pages. HTTP messages and frames must give the same result however they are split, and random garbage must
+// not break a parser (cuts.hpp).
 #include <vector>
 
 #include "cuts.hpp"
@@ -16,6 +18,7 @@
 using http::Parser;
 using http::Side;
 
+// Describes the state of an HTTP parser as text, for comparison.
 std::string describe(Parser& parser, Parser::Progress progress, const std::string& input) {
   if (progress == Parser::Progress::more) return "more";
   if (progress == Parser::Progress::fault) return "fault " + std::to_string(parser.fault().status);
@@ -39,30 +42,33 @@
   };
 }
 
+// Parses `text` in one piece.
 std::string once(Side side, const std::string& text) { return httpParse(side)({text}); }
 
-const std::string kPost =
+const std::string kPostRequest =
     "POST /wide-search HTTP/1.1\r\nHost: a\r\nReq-Id:  q1 \r\nContent-Length: 5\r\n\r\nhello";
-const std::string kChunked =
+const std::string kChunkedResponse =
     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5;x=y\r\nhello\r\n1\r\n!\r\n0\r\nT: 1\r\n\r\n";
 
 void httpMessages() {
-  for (const auto& [side, text] : {std::pair{Side::request, kPost}, {Side::response, kChunked}}) {
+  for (const auto& [side, text] :
+       {std::pair{Side::request, kPostRequest}, {Side::response, kChunkedResponse}}) {
     sameAtEveryCut(text, httpParse(side));
     survivesGarbage(text, httpParse(side));
   }
-  CHECK(once(Side::request, kPost).find("Req-Id=q1|") != std::string::npos);
-  CHECK(once(Side::response, kChunked).substr(0, 6) == "  200|");
-  CHECK(once(Side::response, kChunked).find("hello!") != std::string::npos);
-  Parser two(Side::request);  // two in one go: the second waits untouched
-  std::string input = kPost + kPost;
-  CHECK(two.parse(input) == Parser::Progress::complete);
-  two.next(input);
-  CHECK(input == kPost);
-  CHECK(two.parse(input) == Parser::Progress::complete);
+  CHECK(once(Side::request, kPostRequest).find("Req-Id=q1|") != std::string::npos);
+  CHECK(once(Side::response, kChunkedResponse).substr(0, 6) == "  200|");
+  CHECK(once(Side::response, kChunkedResponse).find("hello!") != std::string::npos);
+  Parser parser(Side::request);  // two pipelined requests: the second stays unchanged
+  std::string input = kPostRequest + kPostRequest;
+  CHECK(parser.parse(input) == Parser::Progress::complete);
+  parser.next(input);
+  CHECK(input == kPostRequest);
+  CHECK(parser.parse(input) == Parser::Progress::complete);
 }
 
-// What two readers could read in two ways is turned down.
+// Messages that two parsers could interpret differently (request smuggling) and oversized ones are
+// rejected.
 void httpFaults() {
   const auto head = [](const std::string& fields) {
     return "POST / HTTP/1.1\r\nHost: a\r\n" + fields + "\r\n";
@@ -94,7 +100,8 @@
            read = platform::readFrame(input)) {
         if (read.fault) return out + "fault";
         const auto reply = platform::readReply(read.frame->rest);
-        out += reply ? std::string(reply->id) + "=" + std::string(reply->value) + ";" : std::string("odd;");
+        out += reply ? std::string(reply->id) + "=" + std::string(reply->value) + ";"
+                     : std::string("malformed;");
         input.erase(0, read.frame->size);
       }
     }
@@ -110,8 +117,8 @@
   CHECK(frameParse()({reply}) == "9b1f.3=value\nwith a line;");
   CHECK(frameParse()({std::string("\0\0\0\0", 4)}) == "fault");
   CHECK(frameParse()({std::string("\x7f\0\0\0", 4)}) == "fault");
-  for (const auto* odd : {"a done 1 -", "a  1 -\nx", "a over 1 -\nx", "\n", "a done\n"})
-    CHECK(!platform::readReply(odd));
+  for (const auto* malformed : {"a done 1 -", "a  1 -\nx", "a over 1 -\nx", "\n", "a done\n"})
+    CHECK(!platform::readReply(malformed));
   CHECK(platform::readReply("a.1 full 0 -\n")->outcome == Outcome::rejected);
   CHECK(platform::readReply("a.1 failed 0 -\n")->outcome == Outcome::error);
   CHECK(platform::writeCall("q.3", 3, 240'999'999, "c41e77d0") ==
@@ -135,17 +142,17 @@
   const auto& entry = list->entries[0];
   CHECK(entry.zone == 1 && entry.cell == 3 && entry.state == ServerState::draining &&
         entry.startedAt == 5'000'000);
-  auto bare = kList;  // of a site without zones
-  bare.replace(bare.find(R"("zone":"b",)"), std::string(R"("zone":"b",)").size(), "");
-  CHECK(platform::readNodeList(bare, {}, why));
+  auto withoutZone = kList;  // a list from a deployment without zones
+  withoutZone.replace(withoutZone.find(R"("zone":"b",)"), std::string(R"("zone":"b",)").size(), "");
+  CHECK(platform::readNodeList(withoutZone, {}, why));
   for (const auto& [from, to] : {std::pair<std::string, std::string>{"\"cell\":3", "\"cell\":-1"},
                                  {"Terminating", "Odd"},
                                  {"\"zone\":\"b\"", "\"zone\":3"},
                                  {"10.1.0.18:8080", "host:80"},
                                  {"\"weight\":1.0", "\"weight\":\"x\""}}) {
-    auto odd = kList;
-    odd.replace(odd.find(from), from.size(), to);
-    CHECK(!platform::readNodeList(odd, {}, why) && why.rfind("key ", 0) == 0);
+    auto malformed = kList;
+    malformed.replace(malformed.find(from), from.size(), to);
+    CHECK(!platform::readNodeList(malformed, {}, why) && why.rfind("key ", 0) == 0);
   }
 }
 
@@ -177,10 +184,10 @@
   CHECK(status("/wide-search", with("acme", "nobody"), body) == 400);
   for (const auto* deadline : {"", "-1", "nan", "inf", "1e99", "0", "1s"})
     CHECK(status("/wide-search", with("0.480", deadline), body) == 400);
-  for (const auto* odd :
+  for (const auto* malformed :
        {"", "[]", "{}", R"({"query":"x"})", R"({"query":"x","targets":[{"partition":12,"share":1}]})",
         R"({"query":"x","targets":[3]})", R"({"query":7,"targets":[]})"})
-    CHECK(status("/wide-search", good, odd) == 400);
+    CHECK(status("/wide-search", good, malformed) == 400);
 }
 
 void features() {
@@ -189,7 +196,7 @@
       R"({"type":"Feature","id":"a","properties":{"n":1.10}},{"type":"Feature","id":"b"}]})";
   const auto read = features::readPage(page);
   CHECK(read && read->next == "/x?offset=2" && read->features.size() == 2);
-  CHECK(read->features[0].find("1.10") != std::string::npos);  // as the server wrote it
+  CHECK(read->features[0].find("1.10") != std::string::npos);  // numbers stay as the server wrote them
   CHECK(features::split(features::join(read->features)) == read->features);
   CHECK(features::split("").empty());
   for (std::size_t cut = 0; cut + 1 < page.size(); ++cut) CHECK(!features::readPage(page.substr(0, cut)));
@@ -204,12 +211,13 @@
   };
   CHECK(next("http://1.2.3.4:80/c/items?offset=2") == "/c/items?offset=2");
   CHECK(next("/d?x#f") == "/d?x" && next("?offset=2") == "/c/items?offset=2" && next("more") == "/c/more");
-  for (const auto* odd : {"http://1.2.3.5:80/", "https://1.2.3.4:80/", "//other/x", "", "/a b", "/a\r\nX: y"})
-    CHECK(next(odd) == "-");
-  for (const auto* odd :
+  for (const auto* malformed :
+       {"http://1.2.3.5:80/", "https://1.2.3.4:80/", "//other/x", "", "/a b", "/a\r\nX: y"})
+    CHECK(next(malformed) == "-");
+  for (const auto* malformed :
        {"bbox=1,2,3", "bbox=1,2,3,x", "bbox=1,50,3,40", "bbox=999,1,2,3", "limit=0", "limit=-1", "limit=x",
         "colour=red", "limit=1&limit=2", "offset=x", "datetime=soon", "%zz=1", "bbox="})
-    CHECK(std::holds_alternative<std::string>(features::readItemsQuery(odd)));
+    CHECK(std::holds_alternative<std::string>(features::readItemsQuery(malformed)));
   const auto good =
       features::readItemsQuery("bbox=36.6,-1.5,37.1,-1.1&limit=99999&datetime=2026-01-01T00:00:00Z/..");
   CHECK(std::get<features::ItemsQuery>(good).limit == features::ItemsQuery::kMostLimit);
--- a/tests/server_test.cpp
+++ b/tests/server_test.cpp
@@ -1,5 +1,7 @@
-// The HTTP server: an answer that its client reads slowly is written whole before the server is quiet, and
-// what is sent ahead is answered in order.
+// Tests of http::Server and net::Connection on real sockets: slow readers get the whole response
+// before the server is drained, pipelined requests are answered in order, slow requests time out, idle
+// connections make room for new ones, rejected uploads do not block the loop, and connecting survives a stall
+// of the loop.
 #include "http/server.hpp"
 
 #include <chrono>
@@ -16,25 +18,29 @@
 namespace {
 
 constexpr Nanos kMs = 1'000'000;
-constexpr std::size_t kBig = 16 * 1024 * 1024;
+constexpr std::size_t kLargeBodyBytes = 16 * 1024 * 1024;
 
-struct Echo : http::Server::Handler {
+struct EchoHandler : http::Server::Handler {
   http::Server* server = nullptr;
   void onRequest(http::Server::ExchangeNo exchange, const http::Head& head, std::string_view) override {
     const std::string target(head.target);
-    server->respond(exchange, {200, "text/plain", target == "/big" ? std::string(kBig, 'x') : target, {}});
+    server->respond(exchange,
+                    {200, "text/plain", target == "/big" ? std::string(kLargeBodyBytes, 'x') : target, {}});
   }
   void onGone(http::Server::ExchangeNo) override {}
 };
 
-struct World {
+struct ServerFixture {
   net::Loop loop;
   broker::Log log{[](auto, auto) {}, [] { return Nanos{0}; }};
-  Echo echo;
+  EchoHandler echo;
   http::Server server;
-  explicit World(std::size_t most = 256, Nanos requestTime = 2200 * kMs, Nanos idleTime = 2000 * kMs)
-      : server(loop, log, {"test", Poco::Net::SocketAddress("127.0.0.1", 0), most, requestTime, idleTime},
-               echo) {
+  explicit ServerFixture(std::size_t maxConnections = 256, Nanos requestTimeout = 2200 * kMs,
+                         Nanos idleTimeout = 2000 * kMs)
+      : server(
+            loop, log,
+            {"test", Poco::Net::SocketAddress("127.0.0.1", 0), maxConnections, requestTimeout, idleTimeout},
+            echo) {
     echo.server = &server;
   }
   void run(Nanos time) {
@@ -43,13 +49,15 @@
   }
 };
 
-// A blocking socket: nothing is read from it before the test does.
-Poco::Net::StreamSocket ask(World& w, const std::string& request) {
-  Poco::Net::StreamSocket socket(w.server.address());
+// Connects and sends `request`. Returns a blocking socket, from which only the test reads.
+Poco::Net::StreamSocket sendRequest(ServerFixture& fixture, const std::string& request) {
+  Poco::Net::StreamSocket socket(fixture.server.address());
   socket.sendBytes(request.data(), static_cast<int>(request.size()));
   return socket;
 }
 
+// Reads what is available and appends it to `text`. Returns the number of bytes read: 0 at the end of the
+// stream, and 1 if nothing is available.
 std::size_t readSome(Poco::Net::StreamSocket& socket, std::string& text) {
   std::string chunk(1 << 20, 0);
   if (!socket.poll(Poco::Timespan(0), Poco::Net::Socket::SELECT_READ)) return 1;
@@ -59,141 +67,160 @@
   return got;
 }
 
-std::string get(const std::string& path) { return "GET " + path + " HTTP/1.1\r\nHost: a\r\n\r\n"; }
+// A GET request.
+std::string getRequest(const std::string& path) { return "GET " + path + " HTTP/1.1\r\nHost: a\r\n\r\n"; }
 
+// A client starts to read a large response only after the shutdown has begun. The server must not report that
+// it is drained before the client has read the whole response.
 void slowReaderGetsAll() {
-  World w;
-  auto socket = ask(w, get("/big"));
+  ServerFixture fixture;
+  auto socket = sendRequest(fixture, getRequest("/big"));
   std::string text;
   bool ended = false, early = false;
-  w.loop.after(200 * kMs, [&] {
-    w.server.stopAccepting();
-    early = w.server.quiet();
+  fixture.loop.after(200 * kMs, [&] {
+    fixture.server.stopAccepting();
+    early = fixture.server.quiet();
   });
   std::function<void()> read = [&] {
-    ended = readSome(socket, text) == 0 || text.size() > kBig;
-    ended&& w.server.quiet() ? w.loop.stop() : static_cast<void>(w.loop.after(kMs, read));
+    ended = readSome(socket, text) == 0 || text.size() > kLargeBodyBytes;
+    if (ended && fixture.server.quiet()) {
+      fixture.loop.stop();
+    } else {
+      fixture.loop.after(kMs, read);
+    }
   };
-  w.loop.after(1500 * kMs, read);
-  w.loop.after(20'000 * kMs, [&] { w.loop.stop(); });
-  w.loop.run();
-  CHECK(!early && ended && text.size() > kBig && w.server.quiet());
+  fixture.loop.after(1500 * kMs, read);
+  fixture.loop.after(20'000 * kMs, [&] { fixture.loop.stop(); });
+  fixture.loop.run();
+  CHECK(!early && ended && text.size() > kLargeBodyBytes && fixture.server.quiet());
 }
 
+// Pipelined requests are answered in order. After a malformed one the connection ends, without an answer to
+// those behind it.
 void pipelinedInOrder() {
-  World w;
-  auto socket = ask(w, get("/a") + get("/b") + "bad\r\n\r\n" + get("/c"));
+  ServerFixture fixture;
+  auto socket = sendRequest(fixture, getRequest("/a") + getRequest("/b") + "bad\r\n\r\n" + getRequest("/c"));
   std::string text;
-  w.loop.after(300 * kMs, [&] {
+  fixture.loop.after(300 * kMs, [&] {
     readSome(socket, text);
-    w.loop.stop();
+    fixture.loop.stop();
   });
-  w.loop.run();
+  fixture.loop.run();
   const auto a = text.find("/a"), b = text.find("/b"), bad = text.find("HTTP/1.1 400");
   CHECK(a < b && b < bad && bad != std::string::npos && text.find("/c") == std::string::npos);
 }
 
-// Half requests, one of them renewed byte by byte, and a connection on which nothing comes: each has an error
-// or an end in time. A client that has asked before may rest.
-void slowRequestsEnd() {
-  World w(256, 500 * kMs);
-  auto half = ask(w, "GET / HTT"), trickle = ask(w, "G"),
-       body = ask(w, "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\nx");
-  auto mute = ask(w, ""), rests = ask(w, get("/a"));
-  std::function<void()> drip = [&] {
+// Partial requests, one of which arrives byte by byte, get a 408 within the request timeout, and a
+// connection without any request is closed. A connection that is idle after a request stays open.
+void slowRequestsTimeOut() {
+  ServerFixture fixture(256, 500 * kMs);
+  auto partialHead = sendRequest(fixture, "GET / HTT");
+  auto slowClient = sendRequest(fixture, "G");
+  auto partialBody = sendRequest(fixture, "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\nx");
+  auto withoutRequest = sendRequest(fixture, "");
+  auto idleClient = sendRequest(fixture, getRequest("/a"));
+  std::function<void()> sendByte = [&] {
     try {
-      trickle.sendBytes("E", 1);
-      w.loop.after(50 * kMs, drip);
-    } catch (const Poco::Exception&) {  // its connection has ended, as it should
+      slowClient.sendBytes("E", 1);
+      fixture.loop.after(50 * kMs, sendByte);
+    } catch (const Poco::Exception&) {  // the server has closed the connection, as expected
     }
   };
-  w.loop.after(50 * kMs, drip);
-  w.run(1500 * kMs);
-  for (auto* socket : {&half, &body, &trickle}) {
+  fixture.loop.after(50 * kMs, sendByte);
+  fixture.run(1500 * kMs);
+  for (auto* socket : {&partialHead, &partialBody, &slowClient}) {
     std::string text;
     CHECK(readSome(*socket, text) > 1 && text.rfind("HTTP/1.1 408", 0) == 0);
   }
   std::string none, answer;
-  CHECK(readSome(mute, none) == 0);
-  readSome(rests, answer);
-  CHECK(answer.rfind("HTTP/1.1 200", 0) == 0 && readSome(rests, none) == 1);
+  CHECK(readSome(withoutRequest, none) == 0);
+  readSome(idleClient, answer);
+  CHECK(answer.rfind("HTTP/1.1 200", 0) == 0 && readSome(idleClient, none) == 1);
 }
 
-// More connections than there is room for, most of them silent: who asks is served, and none above the limit
-// is held. The first to go are those that have been idle for long.
-void makesRoom() {
-  World w(8, 60'000 * kMs, 200 * kMs);
+// More clients connect than the limit allows, most of them without a request. A client that sends a
+// request is served and no more connections than the limit are held, since idle connections are closed for
+// new ones.
+void idleConnectionsMakeRoom() {
+  ServerFixture fixture(8, 60'000 * kMs, 200 * kMs);
   std::vector<Poco::Net::StreamSocket> idle;
-  for (int i = 0; i < 20; ++i) idle.push_back(ask(w, i == 0 ? get("/a") : ""));
-  std::optional<Poco::Net::StreamSocket> asks;
-  w.loop.after(400 * kMs, [&] { asks = ask(w, get("/b")); });
-  w.run(1500 * kMs);
+  for (int i = 0; i < 20; ++i) idle.push_back(sendRequest(fixture, i == 0 ? getRequest("/a") : ""));
+  std::optional<Poco::Net::StreamSocket> laterClient;
+  fixture.loop.after(400 * kMs, [&] { laterClient = sendRequest(fixture, getRequest("/b")); });
+  fixture.run(1500 * kMs);
   std::string text;
-  readSome(*asks, text);
+  readSome(*laterClient, text);
   CHECK(text.find("/b") != std::string::npos);
   int held = 0;
   for (auto& socket : idle) held += readSome(socket, text) == 1 ? 1 : 0;
   CHECK(held <= 8);
 }
 
-// A client that is turned down and sends on at full speed does not keep the loop from serving others.
-void fullSpeedIsTurnedDown() {
-  World w;
-  Poco::Net::StreamSocket pours(w.server.address());
+// A client whose upload is rejected but continues at full speed must not keep the loop from serving others.
+void rejectedUploadDoesNotBlockOthers() {
+  ServerFixture fixture;
+  Poco::Net::StreamSocket uploader(fixture.server.address());
   const std::string head = "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 60000000\r\n\r\n";
-  pours.sendBytes(head.data(), static_cast<int>(head.size()));
-  pours.setBlocking(false);
-  const std::string much(1 << 20, 'x');
+  uploader.sendBytes(head.data(), static_cast<int>(head.size()));
+  uploader.setBlocking(false);
+  const std::string block(1 << 20, 'x');
   std::size_t sent = 0;
   bool ended = false;
-  std::function<void()> pour = [&] {
+  std::function<void()> upload = [&] {
     try {
       for (int got = 1; got > 0 && sent < 60'000'000;) {
-        got = pours.sendBytes(much.data(), static_cast<int>(much.size()));
+        got = uploader.sendBytes(block.data(), static_cast<int>(block.size()));
         if (got > 0) sent += static_cast<std::size_t>(got);
       }
-      w.loop.after(kMs, pour);
+      fixture.loop.after(kMs, upload);
     } catch (const Poco::Exception&) {
       ended = true;
     }
   };
-  pour();
-  auto other = ask(w, get("/a"));
-  w.run(2500 * kMs);
+  upload();
+  auto other = sendRequest(fixture, getRequest("/a"));
+  fixture.run(2500 * kMs);
   std::string text;
   readSome(other, text);
   CHECK(text.rfind("HTTP/1.1 200", 0) == 0);
-  CHECK(ended && sent < 40'000'000);  // what the sockets' buffers held and little more was taken off it
+  CHECK(ended && sent < 40'000'000);  // little more was read than the sockets' buffers hold
 }
 
-// Notes how a connection that is set up ends, or that it came up.
-struct Caller : net::Connection::Owner {
+// Records whether a connection was established and how it ended.
+struct ConnectRecorder : net::Connection::Owner {
   net::Loop& loop;
   std::optional<net::ConnectionEnd> end;
   bool up = false;
-  explicit Caller(net::Loop& l) : loop(l) {}
-  void onUp(net::Connection&) override { up = true, loop.stop(); }
+  explicit ConnectRecorder(net::Loop& l) : loop(l) {}
+  void onUp(net::Connection&) override {
+    up = true;
+    loop.stop();
+  }
   void onData(net::Connection&) override {}
-  void onEnd(net::Connection&, net::ConnectionEnd how) override { end = how, loop.stop(); }
+  void onEnd(net::Connection&, net::ConnectionEnd cause) override {
+    end = cause;
+    loop.stop();
+  }
 };
 
-// The loop stands still for longer than a connection has to come up: what the kernel did meanwhile counts.
-void comesUpWhileTheLoopStandsStill() {
+// The loop stalls for longer than the connect timeout. A connection that the kernel established or refused
+// during the stall must be reported as such and not as timed out.
+void connectResultCountsAfterStall() {
   const auto call = [](const std::string& address) {
     net::Loop loop;
-    Caller caller(loop);
+    ConnectRecorder recorder(loop);
     std::shared_ptr<net::Connection> connection;
     loop.after(0, [&] {
-      connection = net::Connection::connect(loop, Poco::Net::SocketAddress(address), 20 * kMs, caller);
+      connection = net::Connection::connect(loop, Poco::Net::SocketAddress(address), 20 * kMs, recorder);
       std::this_thread::sleep_for(std::chrono::milliseconds(100));
     });
     loop.run();
-    return std::pair(caller.up, caller.end);
+    return std::pair(recorder.up, recorder.end);
   };
   Poco::Net::ServerSocket listener(Poco::Net::SocketAddress("127.0.0.1", 0), 1);
   CHECK(call(listener.address().toString()).first);
   CHECK(call(freeAddress()).second == net::ConnectionEnd::refused);
-  // Where nothing has come up the time-out stands: the listener's queue is full.
+  // With the listener's backlog full nothing is established, and the timeout is reported.
   std::array<Poco::Net::StreamSocket, 4> queue;
   for (auto& waiting : queue) waiting.connectNB(listener.address());
   CHECK(call(listener.address().toString()).second == net::ConnectionEnd::connectTimeout);
@@ -203,10 +230,10 @@
 }  // namespace topazweir::test
 
 int main() {
-  topazweir::test::comesUpWhileTheLoopStandsStill();
-  topazweir::test::slowRequestsEnd();
-  topazweir::test::makesRoom();
-  topazweir::test::fullSpeedIsTurnedDown();
+  topazweir::test::connectResultCountsAfterStall();
+  topazweir::test::slowRequestsTimeOut();
+  topazweir::test::idleConnectionsMakeRoom();
+  topazweir::test::rejectedUploadDoesNotBlockOthers();
   topazweir::test::slowReaderGetsAll();
   topazweir::test::pipelinedInOrder();
 }
