--- a/deploy/broker.example.hcl
+++ b/deploy/broker.example.hcl
@@ -1,15 +1,15 @@
-# The operator file: what runs beside the platform's part. Started as
+# Example operator file: the settings of everything other than the platform's protocol. Started as
 #   topazweir run --operator deploy/broker.example.hcl
 # and checked as
 #   topazweir check deploy/broker.example.hcl
-# README.md, docs/grpc.md and docs/membership.md say what each key means.
+# The keys are described in README.md, docs/grpc.md and docs/membership.md.
 
 log {
-  format = "text"   # or "json": one object a line
+  format = "text"   # or "json": one object per line
   level  = "info"
 }
 
-# OGC API - Features. The keys are those of deploy/features.example.json.
+# OGC API - Features. The keys are the same as in deploy/features.example.json.
 features {
   listen      = "127.0.0.1:8081"
   title       = "Branch locations"
@@ -40,7 +40,8 @@
     backend "127.0.0.1:7002" { zone = "b" }
   }
 
-  # Two shards, by the branch that a call is about; each backend holds one, and the third stands in for both.
+  # Two shards, selected by the metadata key x-branch. The first two backends hold one shard each, the third
+  # holds both.
   pool "stock" {
     shards  = 2
     shardBy = "x-branch"
@@ -67,7 +68,7 @@
     pool    = "catalogue"
   }
 
-  # An order is placed once: it is tried again only where it cannot have run.
+  # Orders are not idempotent: a call is retried only if the failed attempt cannot have been executed.
   route "order" {
     prefix     = "dawa.orders"
     pool       = "stock"
@@ -75,7 +76,7 @@
     deadlineMs = 10000
   }
 
-  # Calls of the tills' test ring, by metadata.
+  # Calls from the test ring of the tills (points of sale), matched by metadata.
   route "test-ring" {
     prefix   = "dawa.orders"
     metadata = { x-ring = "test" }
@@ -83,18 +84,19 @@
   }
 }
 
-# The aggregators of one fleet know each other: docs/membership.md. Without this block none speaks.
+# Membership of the aggregators of one fleet, see docs/membership.md. An aggregator without this block takes
+# no part in it.
 membership {
   name      = "n1"
   fleet     = "dawa"
   listen    = "127.0.0.1:7946"
   zone      = "nbi-dc1"
-  state     = "/var/lib/topazweir"   # a voter keeps its word here
+  state     = "/var/lib/topazweir"   # directory of the persistent Raft state of a voter
   voter "n1" { address = "127.0.0.1:7946" }
   voter "n2" { address = "127.0.0.1:7947" }
   voter "n3" { address = "127.0.0.1:7948" }
   periodMs  = 1000
-  fanOut    = 5                      # members that one hands the voters' register on to
-  changeBytesPerS = 2048             # sent for that, in the mean
-  # relays = ["r1", "r2"]            # these alone hand it on while any of them is there
+  fanOut    = 5                      # members to which each member relays the voters' register
+  changeBytesPerS = 2048             # mean send rate of this relaying, bytes per second
+  # relays = ["r1", "r2"]            # while any of these is available, only they and the voters relay it
 }
--- a/examples/fleet/member.hcl
+++ b/examples/fleet/member.hcl
@@ -1,4 +1,4 @@
-# One of five aggregators; examples/fleet/run puts its number in place of "@".
+# One of the five aggregators; examples/fleet/run replaces "@" by its number and "@STATE@" by a directory.
 membership {
   fleet  = "example"
   listen = "127.0.0.1:942@"
--- a/examples/grpc/broker.hcl
+++ b/examples/grpc/broker.hcl
@@ -1,6 +1,6 @@
-# The smallest gRPC set-up: one pool of two backends, one route.
+# Minimal gRPC settings: one pool of two backends, one route.
 #   topazweir run --operator examples/grpc/broker.hcl
-# `scripts/demo` starts the same with stand-in backends.
+# `scripts/demo` starts a similar set-up with stub backends.
 grpc {
   listen = "127.0.0.1:8443"
 
@@ -12,7 +12,7 @@
   route "catalogue" {
     service = "dawa.Catalogue"
     pool    = "catalogue"
-    effect  = "safe"     # reads: may be tried again on the other backend
+    effect  = "safe"     # read-only: may be retried on the other backend
     retryOn = ["UNAVAILABLE"]
   }
 }
--- a/experiments/grpc-chart.gp
+++ b/experiments/grpc-chart.gp
@@ -1,4 +1,5 @@
-# gnuplot experiments/grpc-chart.gp   (gnuplot-nox): docs/results/grpc-unary.dat to docs/results/grpc-unary.svg
+# Draws docs/results/grpc-unary.svg from docs/results/grpc-unary.dat (Debian package gnuplot-nox):
+#   gnuplot experiments/grpc-chart.gp
 set terminal svg size 720,360 font "sans,11"
 set output "docs/results/grpc-unary.svg"
 set style data histograms
--- a/experiments/grpc-streams.hcl
+++ b/experiments/grpc-streams.hcl
@@ -1,5 +1,6 @@
-# One long stream with a slow reader, and many idle ones.
-# Claims: resident memory stays within `mostMb`.
+# Memory use of the broker in two cases: one long stream whose reader is `slower` times slower than the
+# throughput measured through the broker, and many idle streams.
+# Claims: resident memory stays within `mostMb` (stream: peak; idle: with all streams open).
 stream {
   mebibytes = 1024
   slower    = 10
--- a/experiments/grpc-unary.hcl
+++ b/experiments/grpc-unary.hcl
@@ -1,5 +1,5 @@
-# Unary calls, straight to a stand-in and through the broker, in one run.
-# Claim: throughput through the broker is at least `leastRatio` of direct.
+# Throughput of unary calls, directly to a stub backend and through the broker, in one run.
+# Claim: throughput through the broker is at least `leastRatio` times the direct throughput.
 seconds = 4
 unary = [
   { inFlight = 1, bytes = 100, leastRatio = 0.2 },
