--- a/src/grpc/backend.hpp
+++ b/src/grpc/backend.hpp
@@ -1,4 +1,4 @@
-// The core's backend on gRPC servers: an attempt is a stream on a pooled HTTP/2 connection (plaintext with
+// The core's backend for gRPC servers: an attempt is a stream on a pooled HTTP/2 connection (plaintext with
 // prior knowledge, RFC 9113 section 3.3).
 #pragma once
 
@@ -17,57 +17,70 @@
 namespace topazweir::grpc {
 
 struct BackendCounters {
-  std::uint64_t connectionsOpened = 0, goaways = 0, resets = 0, refusedStreams = 0, cutStreams = 0;
+  std::uint64_t connectionsOpened = 0;
+  std::uint64_t goaways = 0;         // GOAWAY frames received
+  std::uint64_t resets = 0;          // streams closed by the server without a complete response
+  std::uint64_t refusedStreams = 0;  // not processed: above a GOAWAY's last id, or REFUSED_STREAM
+  std::uint64_t cutStreams = 0;      // responses that ended without a grpc-status
 };
 
 class Backend : public broker::Backend, public Upstream, private http2::Session::Handler {
  public:
-  // What the backend asks of the core.
-  struct Core {
+  // How the backend reports to the core.
+  struct Callbacks {
+    // The attempt has ended; the core may make another.
     std::function<void(const broker::AttemptId&, Outcome)> ended;
+    // The call is committed to the attempt. `heard`: because a response has begun. False: the attempt is no
+    // longer wanted.
     std::function<bool(const broker::AttemptId&, bool heard)> began;
+    // The attempt has ended, and the call with it.
     std::function<void(const broker::AttemptId&, Outcome, broker::Verdict)> settle;
   };
   Backend(net::Loop& loop, broker::Log& log, const Exchanges& exchanges, const config::Grpc& config,
-          Core core);
+          Callbacks callbacks);
   ~Backend() override;
 
-  // The servers as the module is to know them; a server's number stays the same for an address and shard.
+  // Replaces the known servers by the pool's, and returns the list for the decision module. A server keeps
+  // its number as long as its address and shard are listed.
   ListNews servers(const config::GrpcPool& pool, ListNews::Scope scope);
 
   void start(broker::AttemptOrder order) override;
   void cancel(const broker::AttemptId& id) override;
-  void requestMore(Exchange& exchange) override;
-  void responseTaken(Exchange& exchange, std::size_t bytes) override;
-  void keep(Exchange& exchange) override;
+  void onRequestData(Exchange& exchange) override;
+  void acknowledgeResponse(Exchange& exchange, std::size_t bytes) override;
+  void commitToNewest(Exchange& exchange) override;
 
-  std::size_t connections() const { return links_.size(); }
+  std::size_t connections() const { return connections_.size(); }
+  // Attempts, including those that wait for a stream.
   std::size_t streams() const { return streams_.size(); }
   const BackendCounters& counters() const { return counters_; }
 
  private:
   struct Server {
     std::string address;
-    std::size_t connections = 0, streams = 0, queue = 0;
+    std::size_t maxConnections = 0;
+    std::size_t maxStreams = 0;  // on one connection
+    std::size_t maxQueued = 0;   // attempts that may wait for a stream
   };
-  struct Link {
+  struct PooledConnection {
     std::unique_ptr<http2::Session> session;
     std::string address;
     std::map<http2::StreamId, broker::AttemptId> streams;
-    bool goaway = false;
-    http2::StreamId lastServed = 0;  // of the GOAWAY
+    bool goaway = false;                // received
+    http2::StreamId lastProcessed = 0;  // the last stream id of the GOAWAY
     Nanos idleSince = 0;
   };
   struct Stream {
     std::shared_ptr<Exchange> exchange;
     broker::AttemptId id;
     ServerId server = 0;
-    Link* link = nullptr;  // none: it waits for a stream to become free
+    PooledConnection* connection = nullptr;  // null: it waits for a free stream
     http2::StreamId stream = 0;
-    std::uint64_t taken = 0;  // offset of the request behind what has been sent
-    bool headSeen = false, sentEnd = false;
+    std::uint64_t sentOffset = 0;  // end of what has been sent of the request
+    bool headReceived = false;
+    bool endSent = false;  // the whole request has been sent
     net::Loop::TimerId timer{};
-    bool underWay() const { return link && link->session->up(); }
+    bool isConnected() const { return connection && connection->session->up(); }
   };
 
   void onHead(http2::Session& session, http2::StreamId id, calls::Fields head, bool end) override;
@@ -78,36 +91,48 @@
   http2::Pulled onPull(http2::Session& session, http2::StreamId id, char* to, std::size_t most) override;
   void onGone(http2::Session& session, net::ConnectionEnd end) override;
 
-  Link* linkFor(const Server& server);
-  bool open(Stream& stream, const Server& server);  // false: no stream is free
-  void pump(const std::string& address);            // streams may have become free
-  Stream* find(http2::Session& session, http2::StreamId id);
-  // The id by value: it mostly comes from the stream that goes here.
-  void end(broker::AttemptId id, const calls::Ended& how, calls::Fields trailers = {});
-  void report(const broker::AttemptId& id, const calls::Next& next);
-  void drop(Stream& stream, std::uint32_t code);
-  void keepSoon(const broker::AttemptId& id);
-  void soon(std::function<void()> what);  // from the loop, unless this one has gone by then
-  void remove(http2::Session& session);
+  // A connection with a free stream, opened if need be; null: the server is at its limits.
+  PooledConnection* connectionFor(const Server& server);
+  // False: no stream is free.
+  bool openStream(Stream& stream, const Server& server);
+  // Opens streams for queued attempts, as far as streams are free.
+  void startQueued(const std::string& address);
+  Stream* findStream(http2::Session& session, http2::StreamId id);
+  // `id` by value: callers pass it from the stream that is erased here.
+  void endAttempt(broker::AttemptId id, const calls::Ended& how, calls::Fields trailers = {});
+  void reportEnd(const broker::AttemptId& id, const calls::Next& next);
+  // Erases a stream, open or queued; an open one is reset with `code` unless that is NO_ERROR.
+  void releaseStream(Stream& stream, std::uint32_t code);
+  // commitToNewest() in a later turn of the loop.
+  void deferCommit(const broker::AttemptId& id);
+  // Runs `work` in a later turn of the loop, unless this object has been destroyed by then.
+  void defer(std::function<void()> work);
+  // Forgets a connection now and destroys it in a later turn of the loop.
+  void removeConnection(http2::Session& session);
+  // Closes the connections without streams that have been idle for too long, lead to servers no longer
+  // listed, or have received GOAWAY.
   void sweep();
 
   net::Loop& loop_;
   broker::Log& log_;
   const Exchanges& exchanges_;
   http2::Limits limits_;
-  Nanos connectTimeout_, idle_;
-  Core core_;
+  Nanos connectTimeout_;
+  Nanos idleTimeout_;
+  Callbacks callbacks_;
   std::map<std::pair<std::string, int>, ServerId> ids_;  // by address and shard
   ServerId lastId_ = 0;
   std::map<ServerId, Server> servers_;
-  std::unordered_map<http2::Session*, std::unique_ptr<Link>> links_;
-  std::map<std::string, std::vector<Link*>, std::less<>> byAddress_;
+  std::unordered_map<http2::Session*, std::unique_ptr<PooledConnection>> connections_;
+  std::map<std::string, std::vector<PooledConnection*>, std::less<>> byAddress_;
   std::map<broker::AttemptId, Stream> streams_;
-  std::map<std::string, std::deque<broker::AttemptId>, std::less<>>
-      waiting_;                         // by address; bounded by `queue`
-  std::set<net::Loop::TimerId> waits_;  // until a backend's pushback is over
+  // Attempts that wait for a stream, by address; at most Server::maxQueued each.
+  std::map<std::string, std::deque<broker::AttemptId>, std::less<>> queued_;
+  // Ends of attempts that are reported only after the server's grpc-retry-pushback-ms.
+  std::set<net::Loop::TimerId> pushbackTimers_;
   net::Loop::TimerId sweepTimer_;
   BackendCounters counters_;
+  // False once the backend has been destroyed: checked by deferred calls.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/grpc/core.hpp
+++ b/src/grpc/core.hpp
@@ -1,7 +1,7 @@
-// The core of one pool with its backend: a bulkhead, since what the decision module learns of delays and
-// health holds for servers of one kind. It stands for one shape of the configuration (the pool's classes and
-// shards, which the module is built from); a reload that changes that starts another one beside it, and this
-// one ends with its last call.
+// The broker core of one pool, with its backend. Each pool has its own, as a bulkhead: the delays and the
+// health that the decision module measures apply to servers of one kind only. A core is built for fixed
+// settings (the pool's classes and shards, and others); a reload that changes them starts a new core beside
+// it, and this one is destroyed after its last call.
 #pragma once
 
 #include <functional>
@@ -14,12 +14,13 @@
 
 class Core : private broker::Front {
  public:
-  // Called once for each call taken, after it has left `exchanges`.
+  // Called once for each submitted call that was not abandoned, after it has been removed from the open
+  // calls.
   using Finished = std::function<void(Exchange&, const broker::FinalAnswer&)>;
 
   Core(net::Loop& loop, broker::Log& log, const config::Grpc& config, const config::GrpcPool& pool,
        Finished finished)
-      : shape_(shapeOf(config, pool)),
+      : fixedSettings_(fixedSettingsOf(config, pool)),
         finished_(std::move(finished)),
         clock_(loop, [this] { broker_.wake(); }),
         backend_(
@@ -28,30 +29,35 @@
              [this](const auto& id, bool heard) { return broker_.attemptBegan(id, heard); },
              [this](const auto& id, auto outcome, auto verdict) { broker_.settle(id, outcome, verdict); }}),
         broker_(pool.terms, clock_, backend_, log) {
-    told(pool);
+    updateServers(pool);
   }
 
-  void told(const config::GrpcPool& pool) { broker_.told(backend_.servers(pool, ListNews::Scope::full)); }
-  // Whether it can go on under this configuration, told of the servers alone.
+  // Passes on the pool's server list.
+  void updateServers(const config::GrpcPool& pool) {
+    broker_.told(backend_.servers(pool, ListNews::Scope::full));
+  }
+  // Whether this core can serve the pool under this configuration, with an updated server list alone.
   bool fits(const config::Grpc& config, const config::GrpcPool& pool) const {
-    return shape_ == shapeOf(config, pool);
+    return fixedSettings_ == fixedSettingsOf(config, pool);
   }
-  // What is wrong with the request, if anything; else `exchange` has its number, and begin() starts the call.
-  std::optional<std::string> take(broker::Request request, const std::shared_ptr<Exchange>& exchange) {
-    auto taken = broker_.take(std::move(request), *this);
-    if (auto* invalid = std::get_if<broker::Invalid>(&taken)) return std::move(invalid->why);
-    exchange->no = std::get<broker::RequestNo>(taken);
+  // Registers a call and sets the exchange's `requestNo` and `core`; start() sends its first attempt. Returns
+  // the error if the request is invalid.
+  std::optional<std::string> submit(broker::Request request, const std::shared_ptr<Exchange>& exchange) {
+    auto result = broker_.take(std::move(request), *this);
+    if (auto* invalid = std::get_if<broker::Invalid>(&result)) return std::move(invalid->why);
+    exchange->requestNo = std::get<broker::RequestNo>(result);
     exchange->core = this;
-    exchanges_[exchange->no] = exchange;
+    exchanges_[exchange->requestNo] = exchange;
     return std::nullopt;
   }
-  void begin(Exchange& exchange) { broker_.begin(exchange.no); }
-  // The client has left.
+  void start(Exchange& exchange) { broker_.begin(exchange.requestNo); }
+  // The client has left: cancels the attempts, without a call to `finished`.
   void abandon(Exchange& exchange) {
-    broker_.abandon(exchange.no);  // calls off what is out, while the exchange can still be found
-    exchanges_.erase(exchange.no);
+    broker_.abandon(exchange.requestNo);  // first, since cancelling an attempt looks the exchange up
+    exchanges_.erase(exchange.requestNo);
   }
-  void giveUp(Exchange& exchange) { broker_.giveUp(exchange.no); }
+  // Cancels the attempts and finishes the call as failed.
+  void failCall(Exchange& exchange) { broker_.giveUp(exchange.requestNo); }
 
   Backend& backend() { return backend_; }
   const Backend& backend() const { return backend_; }
@@ -67,21 +73,25 @@
     finished_(*exchange, answer);
   }
 
-  struct Shape {
+  // The settings that cannot change while the core exists.
+  struct FixedSettings {
     Settings settings;
-    std::size_t maxOpen = 0, headBytes = 0;
+    std::size_t maxOpen = 0;
+    std::size_t headBytes = 0;
     int window = 0;
-    Nanos keepalive = 0, connectTimeout = 0, idle = 0;
-    bool operator==(const Shape&) const = default;
+    Nanos keepalive = 0;
+    Nanos connectTimeout = 0;
+    Nanos idle = 0;
+    bool operator==(const FixedSettings&) const = default;
   };
-  static Shape shapeOf(const config::Grpc& c, const config::GrpcPool& pool) {
-    Shape out{pool.terms.settings, pool.terms.maxOpen, c.headBytes, c.window,
-              c.keepalive,         c.connectTimeout,   c.idle};
-    out.settings.seed = 0;  // each reading brings another: for starts only
+  static FixedSettings fixedSettingsOf(const config::Grpc& config, const config::GrpcPool& pool) {
+    FixedSettings out{pool.terms.settings, pool.terms.maxOpen,    config.headBytes, config.window,
+                      config.keepalive,    config.connectTimeout, config.idle};
+    out.settings.seed = 0;  // differs with each reading of the configuration, and is used only at the start
     return out;
   }
 
-  Shape shape_;
+  FixedSettings fixedSettings_;
   Finished finished_;
   Exchanges exchanges_;
   net::LoopClock clock_;
--- a/src/grpc/exchange.hpp
+++ b/src/grpc/exchange.hpp
@@ -1,4 +1,5 @@
-// One call between the two wires: what the front and the backend share of it.
+// One gRPC call as it passes through the broker: the state that the front (client side) and the backend
+// (server side) share.
 #pragma once
 
 #include <memory>
@@ -16,57 +17,64 @@
 struct Exchange;
 class Core;
 
-// The client's side of a call, for the backend to act on.
+// The client's side of a call, as the backend uses it.
 class Downstream {
  public:
   virtual ~Downstream() = default;
-  virtual void requestTaken(Exchange& exchange, std::size_t bytes) = 0;  // the client may send so many more
-  virtual void responseHead(Exchange& exchange) = 0;  // `head` is there: the call is committed
-  virtual void responseMore(Exchange& exchange) = 0;  // there is more of `response`
+  // The client may send `bytes` more of the request.
+  virtual void acknowledgeRequest(Exchange& exchange, std::size_t bytes) = 0;
+  // `responseHead` has been received: the call is committed to an attempt.
+  virtual void onResponseHead(Exchange& exchange) = 0;
+  // `response` has grown.
+  virtual void onResponseData(Exchange& exchange) = 0;
 };
 
-// The attempts of a call, for the front to act on.
+// The attempts of a call, as the front uses them.
 class Upstream {
  public:
   virtual ~Upstream() = default;
-  virtual void requestMore(Exchange& exchange) = 0;                       // the request has grown, or ended
-  virtual void responseTaken(Exchange& exchange, std::size_t bytes) = 0;  // the backend may send so many more
-  // The call is kept for the newest attempt that is on its way, since its request is too long or too slow for
-  // another one: now, or as soon as there is such an attempt.
-  virtual void keep(Exchange& exchange) = 0;
+  // The request has grown, or ended.
+  virtual void onRequestData(Exchange& exchange) = 0;
+  // The backend may send `bytes` more of the response.
+  virtual void acknowledgeResponse(Exchange& exchange, std::size_t bytes) = 0;
+  // Commits the call to its newest attempt whose connection is established, because the request is too long
+  // or has been open for too long to be sent again. Without such an attempt, as soon as there is one.
+  virtual void commitToNewest(Exchange& exchange) = 0;
 };
 
 struct Exchange {
   Exchange(const calls::Policy& policy, calls::Pressure& pressure)
       : call(policy, pressure), response(pressure) {}
 
-  std::string id;                            // follows the call through every line of the log
-  const config::GrpcRoute* route = nullptr;  // held by `plan`
-  std::shared_ptr<const void> plan;          // the configuration that the call was taken under
-  broker::RequestNo no = 0;
-  Nanos due = 0, takenAt = 0;
+  std::string id;                            // unique among the open calls; in every log line of the call
+  const config::GrpcRoute* route = nullptr;  // owned by `plan`; null: a health check
+  std::shared_ptr<const void> plan;          // the configuration that was in use when the call was accepted
+  broker::RequestNo requestNo = 0;           // the core's number for the call
+  Nanos deadline = 0;
+  Nanos acceptedAt = 0;
   calls::Fields head;  // of the request
 
   calls::Call call;
   calls::Body response;
-  std::uint64_t responseTaken = 0;  // offset behind what has gone to the client
-  calls::Meter meter;               // of the response
+  std::uint64_t responseSentOffset = 0;  // end of what has been passed on to the client
+  calls::Meter meter;                    // of the response's messages
   calls::Fields responseHead;
-  std::optional<calls::Fields> trailers;  // the final status, once the core has booked the end
-  std::optional<calls::Final> verdict;    // the front's own, which outranks what attempts have told
-  bool headSent = false;
-  bool slow = false;  // its request has stayed open for `openAfter`
+  std::optional<calls::Fields> trailers;   // with the final status, once the core has finished the call
+  std::optional<calls::Final> frontFinal;  // set by the front; takes precedence over the attempts' results
+  bool headSent = false;                   // to the client
+  bool longOpen = false;                   // its request has stayed open for longer than `openAfter`
 
-  Core* core = nullptr;               // that it was taken by, which lasts until it ends; none: a health check
-  Downstream* client = nullptr;       // none: it has left
-  Upstream* upstream = nullptr;       // none: a health check
-  http2::Session* session = nullptr;  // the client's
-  http2::StreamId stream = 0;
-  int attempts = 0;
-  std::string lastBackend, lastWhy;  // for the log
+  Core* core = nullptr;               // outlives the call; null: a health check
+  Downstream* downstream = nullptr;   // null: the client has left
+  Upstream* upstream = nullptr;       // null: a health check
+  http2::Session* session = nullptr;  // the client's; null: the client has left
+  http2::StreamId stream = 0;         // the client's
+  int attempts = 0;                   // made so far
+  std::string lastBackend;            // address of the newest attempt's server, for the log
+  std::string lastError;              // of the last attempt that failed, for the log
 };
 
-// The calls that are open, by the number the core knows them by.
+// The open calls, by the core's number for them.
 using Exchanges = std::unordered_map<broker::RequestNo, std::shared_ptr<Exchange>>;
 
 }  // namespace topazweir::grpc
--- a/src/grpc/front.cpp
+++ b/src/grpc/front.cpp
@@ -13,17 +13,26 @@
 
 namespace {
 
-constexpr Nanos kSweep = 20'000'000;
-constexpr Nanos kStalled =
-    5'000'000'000;                    // a client that has taken nothing for so long, while buffers are short
-constexpr Nanos kShed = 500'000'000;  // when to come back, where the buffers are full
-constexpr Nanos kLastMoment = 5'000'000;
-constexpr int kBacklog = 512;
-constexpr std::size_t kHealthBody = 1024;
-
-// Our own status as the head of a response that is nothing else ("Trailers-Only").
-calls::Fields headOf(int http, const calls::Fields& trailers) {
-  calls::Fields out{{":status", std::to_string(http)}, {"content-type", "application/grpc"}};
+// How often long-open requests, the drain deadline and the buffers are checked.
+constexpr Nanos kSweepIntervalNs = 20'000'000;
+// While the buffers are full, a client that has taken no byte for this long loses its connection.
+constexpr Nanos kStalledClientNs = 5'000'000'000;
+// Retry advice to clients whose calls are shed because the buffers are full.
+constexpr Nanos kShedRetryAfterNs = 500'000'000;
+// A call that fails within this time of its deadline ends with DEADLINE_EXCEEDED: the decision module ends
+// calls shortly before their deadline.
+constexpr Nanos kDeadlineMarginNs = 5'000'000;
+// Connections that may wait in the kernel to be accepted.
+constexpr int kListenBacklog = 512;
+// Longer bodies of health checks are refused.
+constexpr std::size_t kMaxHealthRequestBytes = 1024;
+// A longer x-request-id of a client is ignored.
+constexpr std::size_t kMaxRequestIdBytes = 64;
+
+// Header fields of a response of the broker's own; with the final status in `trailers`, it is the whole
+// response (gRPC: Trailers-Only).
+calls::Fields ownResponseHead(int httpStatus, const calls::Fields& trailers) {
+  calls::Fields out{{":status", std::to_string(httpStatus)}, {"content-type", "application/grpc"}};
   out.insert(out.end(), trailers.begin(), trailers.end());
   return out;
 }
@@ -37,73 +46,77 @@
 Front::Front(net::Loop& loop, broker::Log& log, std::shared_ptr<const Plan> plan)
     : loop_(loop), log_(log), plan_(std::move(plan)) {
   pressure_.most = plan_->config.bufferBytes;
-  // Not shared: a second process on the same address would get half of the connections, unseen.
+  // Without SO_REUSEPORT: a second process on the same address would silently get half of the connections.
   listener_.bind(Poco::Net::SocketAddress(plan_->config.listen), true, false);
-  listener_.listen(kBacklog);
+  listener_.listen(kListenBacklog);
   listener_.setBlocking(false);
-  listen(true);
-  sweepTimer_ = loop_.after(kSweep, [this] { sweep(); });
+  setListening(true);
+  sweepTimer_ = loop_.after(kSweepIntervalNs, [this] { sweep(); });
 }
 
 Front::~Front() {
   loop_.cancel(sweepTimer_);
-  listen(false);
+  setListening(false);
   for (auto& [session, client] : clients_) session->close();
 }
 
-void Front::use(std::shared_ptr<const Plan> plan, std::vector<Core*> cores) {
+void Front::updatePlan(std::shared_ptr<const Plan> plan, std::vector<Core*> cores) {
   plan_ = std::move(plan);
   cores_ = std::move(cores);
   pressure_.most = plan_->config.bufferBytes;
-  tellWatches();
+  notifyWatches();
 }
 
-void Front::listen(bool on) {
+void Front::setListening(bool on) {
   if (listening_ == on) return;
   const Poco::Observer<Front, Poco::Net::ReadableNotification> observer(*this, &Front::onAccept);
-  on ? loop_.addEventHandler(listener_, observer) : loop_.removeEventHandler(listener_, observer);
+  if (on) {
+    loop_.addEventHandler(listener_, observer);
+  } else {
+    loop_.removeEventHandler(listener_, observer);
+  }
   listening_ = on;
 }
 
 void Front::onAccept(Poco::Net::ReadableNotification* event) {
   event->release();
   while (!closing_) {
-    // At the limit the backlog waits: it is looked at again as soon as a connection ends.
+    // At the limit, new connections wait in the listen backlog until a connection ends.
     if (clients_.size() >= plan_->config.connections) {
       log_.line("grpc.connection_limit", fmt::format("connections={}", clients_.size()));
-      return listen(false);
+      return setListening(false);
     }
     try {
       if (!listener_.poll(Poco::Timespan(0), Poco::Net::Socket::SELECT_READ)) return;
-      const auto& c = plan_->config;
+      const auto& config = plan_->config;
       http2::Limits limits;
-      limits.headBytes = c.headBytes;
-      limits.streams = static_cast<std::uint32_t>(c.streams);
-      limits.window = c.window;
-      limits.keepalive = c.keepalive;
+      limits.headBytes = config.headBytes;
+      limits.streams = static_cast<std::uint32_t>(config.streams);
+      limits.window = config.window;
+      limits.keepalive = config.keepalive;
       auto client = std::make_unique<Client>();
       client->session = http2::Session::accept(loop_, listener_.acceptConnection(), limits, *this);
-      client->progressAt = loop_.now();
+      client->lastProgressAt = loop_.now();
       clients_[client->session.get()] = std::move(client);
-    } catch (const Poco::Exception& error) {  // the client left meanwhile, or no descriptor was left
+    } catch (const Poco::Exception& error) {  // the client has left, or there is no free descriptor
       log_.line("grpc.accept_failed", error.displayText());
       return;
     }
   }
 }
 
-std::shared_ptr<Exchange> Front::find(http2::Session& session, http2::StreamId id) const {
+std::shared_ptr<Exchange> Front::findExchange(http2::Session& session, http2::StreamId id) const {
   const auto client = clients_.find(&session);
   if (client == clients_.end()) return nullptr;
   const auto at = client->second->streams.find(id);
   return at == client->second->streams.end() ? nullptr : at->second;
 }
 
-// Words for a client whose call was not taken. What else it sends on the stream is thrown away.
-void Front::refuse(http2::Session& session, http2::StreamId id, int http, calls::Code code,
-                   std::string_view words, std::optional<Nanos> comeBack) {
+// Data that the client still sends on the stream is discarded in onData().
+void Front::refuse(http2::Session& session, http2::StreamId id, int httpStatus, calls::Code code,
+                   std::string_view message, std::optional<Nanos> retryAfter) {
   ++counters_.statuses[static_cast<std::size_t>(code)];
-  session.respondOnly(id, headOf(http, calls::writeStatus(code, words, comeBack)));
+  session.respondHeadersOnly(id, ownResponseHead(httpStatus, calls::writeStatus(code, message, retryAfter)));
 }
 
 void Front::onHead(http2::Session& session, http2::StreamId id, calls::Fields head, bool end) {
@@ -117,23 +130,23 @@
     ++counters_.malformed;
     return refuse(session, id, fault->http, fault->code, fault->words);
   }
-  take(session, id, std::move(head), end);
+  acceptCall(session, id, std::move(head), end);
 }
 
 std::string Front::nextId(const calls::Fields& head) {
   const auto given = calls::find(head, "x-request-id").value_or("");
-  if (!given.empty() && given.size() <= 64 && printable(given)) {
-    // Clients may repeat theirs: the number keeps it unique among the open calls.
+  if (!given.empty() && given.size() <= kMaxRequestIdBytes && printable(given)) {
+    // Clients may send the same id again: the number keeps it unique among the open calls.
     return fmt::format("{}-{}", given, ++lastId_);
   }
   return fmt::format("g{}", ++lastId_);
 }
 
-void Front::take(http2::Session& session, http2::StreamId id, calls::Fields head, bool end) {
+void Front::acceptCall(http2::Session& session, http2::StreamId id, calls::Fields head, bool end) {
   const auto& plan = *plan_;
   const auto path = *calls::readPath(*calls::find(head, ":path"));
   const bool health = path.service == kHealthService;
-  static const calls::Policy kOwn;
+  static const calls::Policy kHealthPolicy;
   const auto route = health ? std::optional<std::size_t>(0) : plan.routes.find(head);
   if (!route) {
     ++counters_.unrouted;
@@ -141,26 +154,29 @@
                   fmt::format("no route for {}", *calls::find(head, ":path")));
   }
   const auto& chosen = plan.config.routes[*route];
-  auto exchange = std::make_shared<Exchange>(health ? kOwn : chosen.policy, pressure_);
+  auto exchange = std::make_shared<Exchange>(health ? kHealthPolicy : chosen.policy, pressure_);
   exchange->id = nextId(head);
   exchange->plan = plan_;
-  exchange->client = this;
+  exchange->downstream = this;
   exchange->session = &session;
   exchange->stream = id;
-  exchange->takenAt = loop_.now();
+  exchange->acceptedAt = loop_.now();
   auto& streams = clients_.at(&session)->streams;
   if (health) {
     ++counters_.health;
     exchange->head = std::move(head);
     streams[id] = exchange;
-    if (end) exchange->call.requestEnd(), answerHealth(*exchange);
+    if (end) {
+      exchange->call.requestEnd();
+      answerHealth(*exchange);
+    }
     return;
   }
   exchange->route = &chosen;
   if (pressure_.full()) {
     ++counters_.shed;
     return refuse(session, id, 200, calls::Code::resourceExhausted,
-                  "the buffers are full; asking again is harmless", kShed);
+                  "the buffers are full; asking again is harmless", kShedRetryAfterNs);
   }
   const auto& pool = plan.config.pools[chosen.pool];
   int shard = 0;
@@ -183,146 +199,150 @@
   request.parts.push_back({shard, 1.0});
   if (request.timeLeft <= 0)
     return refuse(session, id, 200, calls::Code::deadlineExceeded, "the time for the call has run out");
-  exchange->due = exchange->takenAt + request.timeLeft;
+  exchange->deadline = exchange->acceptedAt + request.timeLeft;
   exchange->head = std::move(head);
   Core& core = *cores_[chosen.pool];
   exchange->upstream = &core.backend();
-  if (const auto why = core.take(std::move(request), exchange)) {
+  if (const auto error = core.submit(std::move(request), exchange)) {
     ++counters_.malformed;
-    return refuse(session, id, 200, calls::Code::invalidArgument, *why);
+    return refuse(session, id, 200, calls::Code::invalidArgument, *error);
   }
   streams[id] = exchange;
   if (end) {
     exchange->call.requestEnd();
   } else {
-    unended_.emplace(exchange->takenAt, exchange.get());
+    incompleteRequests_.emplace(exchange->acceptedAt, exchange.get());
   }
-  core.begin(*exchange);
+  core.start(*exchange);
 }
 
 void Front::onData(http2::Session& session, http2::StreamId id, std::string_view bytes) {
-  const auto e = find(session, id);
-  if (!e || e->trailers) return session.consume(id, bytes.size());  // answered already: thrown away
-  const bool kept = e->call.requestData(bytes);
-  if (kept) session.consume(id, bytes.size());
-  if (e->call.requestTooLarge())
-    return fail(*e, calls::Code::resourceExhausted, "a message is over messageBytes");
-  if (!e->core) {
-    if (e->call.request().end() > kHealthBody)
-      fail(*e, calls::Code::invalidArgument, "no health check is so long");
+  const auto exchange = findExchange(session, id);
+  if (!exchange || exchange->trailers) return session.consume(id, bytes.size());  // already answered: discard
+  const bool acknowledge = exchange->call.requestData(bytes);
+  if (acknowledge) session.consume(id, bytes.size());
+  if (exchange->call.requestTooLarge())
+    return fail(*exchange, calls::Code::resourceExhausted, "a message is over messageBytes");
+  if (!exchange->core) {
+    if (exchange->call.request().end() > kMaxHealthRequestBytes)
+      fail(*exchange, calls::Code::invalidArgument, "no health check is so long");
     return;
   }
-  e->upstream->requestMore(*e);
+  exchange->upstream->onRequestData(*exchange);
 }
 
 void Front::onEnd(http2::Session& session, http2::StreamId id, calls::Fields) {
-  const auto e = find(session, id);
-  if (!e || e->trailers) return;
-  e->call.requestEnd();
-  if (!e->core) return answerHealth(*e);
-  unended_.erase({e->takenAt, e.get()});
-  e->upstream->requestMore(*e);
-}
-
-void Front::fail(Exchange& e, calls::Code code, std::string_view words) {
-  if (e.trailers) return;
-  e.verdict = {calls::Class::failed, code, calls::writeStatus(code, words, std::nullopt), false};
-  e.core ? e.core->giveUp(e) : end(e, *e.verdict);  // without a core: a health check
+  const auto exchange = findExchange(session, id);
+  if (!exchange || exchange->trailers) return;
+  exchange->call.requestEnd();
+  if (!exchange->core) return answerHealth(*exchange);
+  incompleteRequests_.erase({exchange->acceptedAt, exchange.get()});
+  exchange->upstream->onRequestData(*exchange);
+}
+
+void Front::fail(Exchange& exchange, calls::Code code, std::string_view message) {
+  if (exchange.trailers) return;
+  exchange.frontFinal = {calls::Class::failed, code, calls::writeStatus(code, message, std::nullopt), false};
+  if (exchange.core) {
+    exchange.core->failCall(exchange);
+  } else {  // a health check
+    sendFinal(exchange, *exchange.frontFinal);
+  }
 }
 
-void Front::end(Exchange& e, calls::Final final) {
+void Front::sendFinal(Exchange& exchange, calls::Final final) {
   ++counters_.statuses[static_cast<std::size_t>(final.code)];
-  const bool whole = calls::find(final.trailers, ":status").has_value();  // it came as a head of its own
-  e.trailers = std::move(final.trailers);
-  if (!e.session) return;
-  if (e.headSent) {
-    if (whole) std::erase_if(*e.trailers, [](const auto& f) { return f.name.front() == ':'; });
-    e.session->resume(e.stream);
+  // The backend's response was Trailers-Only: the fields are those of a complete response head.
+  const bool trailersOnly = calls::find(final.trailers, ":status").has_value();
+  exchange.trailers = std::move(final.trailers);
+  if (!exchange.session) return;
+  if (exchange.headSent) {
+    if (trailersOnly) std::erase_if(*exchange.trailers, [](const auto& f) { return f.name.front() == ':'; });
+    exchange.session->resume(exchange.stream);
   } else {
-    e.session->respondOnly(e.stream, whole ? *e.trailers : headOf(200, *e.trailers));
+    exchange.session->respondHeadersOnly(
+        exchange.stream, trailersOnly ? *exchange.trailers : ownResponseHead(200, *exchange.trailers));
   }
 }
 
-// The client's stream is over, in order or not.
 void Front::onClosed(http2::Session& session, http2::StreamId id, std::uint32_t) {
   const auto client = clients_.find(&session);
   if (client == clients_.end()) return;
   const auto at = client->second->streams.find(id);
   if (at == client->second->streams.end()) return;
-  const auto e = at->second;
+  const auto exchange = at->second;
   client->second->streams.erase(at);
-  leave(*e);
+  onClientLeft(*exchange);
 }
 
-void Front::leave(Exchange& e) {
-  e.client = nullptr;
-  e.session = nullptr;
-  watches_.erase(&e);
-  if (!e.core || e.trailers) return;  // it has had its status
+void Front::onClientLeft(Exchange& exchange) {
+  exchange.downstream = nullptr;
+  exchange.session = nullptr;
+  watches_.erase(&exchange);
+  if (!exchange.core || exchange.trailers) return;  // the final status has been sent
   ++counters_.cancelled;
-  unended_.erase({e.takenAt, &e});
-  e.core->abandon(e);
+  incompleteRequests_.erase({exchange.acceptedAt, &exchange});
+  exchange.core->abandon(exchange);
 }
 
 http2::Pulled Front::onPull(http2::Session& session, http2::StreamId id, char* to, std::size_t most) {
-  const auto e = find(session, id);
-  if (!e) return {0, http2::Pulled::Then::end, {}};
+  const auto exchange = findExchange(session, id);
+  if (!exchange) return {0, http2::Pulled::Then::end, {}};
   http2::Pulled out;
-  out.size = e->response.read(e->responseTaken, to, most);
-  e->responseTaken += out.size;
-  e->response.release(e->responseTaken);
-  if (out.size > 0) clients_.at(&session)->progressAt = loop_.now();
-  if (out.size > 0 && e->upstream) e->upstream->responseTaken(*e, out.size);
-  if (e->responseTaken < e->response.end()) {
+  out.size = exchange->response.read(exchange->responseSentOffset, to, most);
+  exchange->responseSentOffset += out.size;
+  exchange->response.release(exchange->responseSentOffset);
+  if (out.size > 0) clients_.at(&session)->lastProgressAt = loop_.now();
+  if (out.size > 0 && exchange->upstream) exchange->upstream->acknowledgeResponse(*exchange, out.size);
+  if (exchange->responseSentOffset < exchange->response.end()) {
     out.then = http2::Pulled::Then::more;
-  } else if (e->trailers) {
+  } else if (exchange->trailers) {
     out.then = http2::Pulled::Then::trailers;
-    out.last = *e->trailers;
+    out.last = *exchange->trailers;
   } else {
     out.then = http2::Pulled::Then::wait;
   }
   return out;
 }
 
-void Front::requestTaken(Exchange& e, std::size_t bytes) {
-  if (e.session) e.session->consume(e.stream, bytes);
+void Front::acknowledgeRequest(Exchange& exchange, std::size_t bytes) {
+  if (exchange.session) exchange.session->consume(exchange.stream, bytes);
 }
 
-void Front::responseHead(Exchange& e) {
-  if (!e.session || e.headSent) return;
-  e.headSent = true;
-  e.session->respond(e.stream, e.responseHead);
+void Front::onResponseHead(Exchange& exchange) {
+  if (!exchange.session || exchange.headSent) return;
+  exchange.headSent = true;
+  exchange.session->respond(exchange.stream, exchange.responseHead);
 }
 
-void Front::responseMore(Exchange& e) {
-  if (e.session && e.headSent) e.session->resume(e.stream);
+void Front::onResponseData(Exchange& exchange) {
+  if (exchange.session && exchange.headSent) exchange.session->resume(exchange.stream);
 }
 
-void Front::finished(Exchange& exchange, const broker::FinalAnswer& answer) {
-  auto* e = &exchange;
-  unended_.erase({e->takenAt, e});
-  const auto counted = answer.verdict == broker::Verdict::answered  ? calls::Class::answered
-                       : answer.verdict == broker::Verdict::refused ? calls::Class::refused
-                                                                    : calls::Class::failed;
-  // The module gives a call up a moment before its time is up: that is the same thing for its client.
-  const bool overdue =
-      answer.timedOut || (counted != calls::Class::answered && loop_.now() + kLastMoment >= e->due);
-  auto final = e->call.finish(counted, overdue, answer.retryAfter);
-  if (e->verdict) final = *e->verdict;
-  report(*e, final);
-  end(*e, std::move(final));
+void Front::onCallFinished(Exchange& exchange, const broker::FinalAnswer& answer) {
+  incompleteRequests_.erase({exchange.acceptedAt, &exchange});
+  const auto callClass = answer.verdict == broker::Verdict::answered  ? calls::Class::answered
+                         : answer.verdict == broker::Verdict::refused ? calls::Class::refused
+                                                                      : calls::Class::failed;
+  const bool overdue = answer.timedOut || (callClass != calls::Class::answered &&
+                                           loop_.now() + kDeadlineMarginNs >= exchange.deadline);
+  auto final = exchange.call.finish(callClass, overdue, answer.retryAfter);
+  if (exchange.frontFinal) final = *exchange.frontFinal;
+  logCall(exchange, final);
+  sendFinal(exchange, std::move(final));
 }
 
-void Front::report(const Exchange& e, const calls::Final& final) {
-  const bool good = final.counted == calls::Class::answered;
-  if (good && !plan_->config.logCalls) return;
-  log_.line(
-      good ? "grpc.call" : "grpc.call_failed",
-      fmt::format("call={} route={} path={} status={} attempts={} ms={:.1f} backend={} from={}{}{}", e.id,
-                  e.route->name, calls::find(e.head, ":path").value_or(""), calls::nameOf(final.code),
-                  e.attempts, static_cast<double>(loop_.now() - e.takenAt) / 1e6,
-                  e.lastBackend.empty() ? "-" : e.lastBackend, final.fromBackend ? "backend" : "broker",
-                  e.lastWhy.empty() ? "" : " why=", e.lastWhy));
+void Front::logCall(const Exchange& exchange, const calls::Final& final) {
+  const bool answered = final.counted == calls::Class::answered;
+  if (answered && !plan_->config.logCalls) return;
+  log_.line(answered ? "grpc.call" : "grpc.call_failed",
+            fmt::format("call={} route={} path={} status={} attempts={} ms={:.1f} backend={} from={}{}{}",
+                        exchange.id, exchange.route->name, calls::find(exchange.head, ":path").value_or(""),
+                        calls::nameOf(final.code), exchange.attempts,
+                        static_cast<double>(loop_.now() - exchange.acceptedAt) / 1e6,
+                        exchange.lastBackend.empty() ? "-" : exchange.lastBackend,
+                        final.fromBackend ? "backend" : "broker",
+                        exchange.lastError.empty() ? "" : " why=", exchange.lastError));
 }
 
 // ---- health ----
@@ -336,47 +356,48 @@
     if (route.match.service != service || route.match.kind < calls::Match::Kind::service) continue;
     known = true;
     const auto& pool = config.pools[route.pool];
-    std::set<int> held;
-    for (const auto& b : pool.backends)
-      if (b.state == ServerState::up) held.insert(b.shards.begin(), b.shards.end());
-    if (held.size() < static_cast<std::size_t>(pool.shards)) return Serving::notServing;
+    std::set<int> shardsServed;
+    for (const auto& backend : pool.backends)
+      if (backend.state == ServerState::up) shardsServed.insert(backend.shards.begin(), backend.shards.end());
+    if (shardsServed.size() < static_cast<std::size_t>(pool.shards)) return Serving::notServing;
   }
   return known ? Serving::serving : Serving::serviceUnknown;
 }
 
-void Front::answerHealth(Exchange& e) {
-  std::string body(e.call.request().kept(), '\0');
-  e.call.request().read(0, body.data(), body.size());
+void Front::answerHealth(Exchange& exchange) {
+  std::string body(exchange.call.request().kept(), '\0');
+  exchange.call.request().read(0, body.data(), body.size());
   const auto service = readHealthRequest(body);
-  if (!service) return fail(e, calls::Code::invalidArgument, "no HealthCheckRequest");
-  const auto path = *calls::find(e.head, ":path");
+  if (!service) return fail(exchange, calls::Code::invalidArgument, "no HealthCheckRequest");
+  const auto path = *calls::find(exchange.head, ":path");
   const bool watch = path.substr(path.rfind('/')) == "/Watch";
   if (!watch && path.substr(path.rfind('/')) != "/Check")
-    return fail(e, calls::Code::unimplemented, "Check or Watch");
+    return fail(exchange, calls::Code::unimplemented, "Check or Watch");
   const auto status = servingOf(*service);
-  if (!watch && status == Serving::serviceUnknown) return fail(e, calls::Code::notFound, "unknown service");
-  e.response.append(writeHealthResponse(status));
-  e.headSent = true;
+  if (!watch && status == Serving::serviceUnknown)
+    return fail(exchange, calls::Code::notFound, "unknown service");
+  exchange.response.append(writeHealthResponse(status));
+  exchange.headSent = true;
   if (watch) {
-    watches_[&e] = {find(*e.session, e.stream), *service, status};
+    watches_[&exchange] = {findExchange(*exchange.session, exchange.stream), *service, status};
   } else {
     ++counters_.statuses[0];
-    e.trailers = calls::writeStatus(calls::Code::ok, "", std::nullopt);
+    exchange.trailers = calls::writeStatus(calls::Code::ok, "", std::nullopt);
   }
-  e.session->respond(e.stream, headOf(200, {}));
+  exchange.session->respond(exchange.stream, ownResponseHead(200, {}));
 }
 
-void Front::tellWatches() {
-  for (auto& [e, watch] : watches_) {
+void Front::notifyWatches() {
+  for (auto& [exchange, watch] : watches_) {
     const auto status = servingOf(watch.service);
-    if (status == watch.told) continue;
-    watch.told = status;
-    e->response.append(writeHealthResponse(status));
-    if (e->session) e->session->resume(e->stream);
+    if (status == watch.lastSent) continue;
+    watch.lastSent = status;
+    exchange->response.append(writeHealthResponse(status));
+    if (exchange->session) exchange->session->resume(exchange->stream);
   }
 }
 
-// ---- the end of connections ----
+// ---- connection limits and shutdown ----
 
 void Front::onFlood(http2::Session&, std::string_view what) {
   ++counters_.floods;
@@ -388,9 +409,9 @@
   if (at == clients_.end()) return;
   const std::shared_ptr<Client> client = std::move(at->second);
   clients_.erase(at);
-  for (const auto& [id, e] : std::exchange(client->streams, {})) leave(*e);
-  loop_.soon([client] {});  // it is in the midst of a call to this
-  if (!closing_) listen(true);
+  for (const auto& [id, exchange] : std::exchange(client->streams, {})) onClientLeft(*exchange);
+  loop_.soon([client] {});  // destroyed later: the session is in the middle of this call
+  if (!closing_) setListening(true);
 }
 
 std::size_t Front::streams() const {
@@ -401,49 +422,51 @@
 
 void Front::drain() {
   draining_ = true;
-  tellWatches();
+  notifyWatches();
 }
 
 void Front::stopAccepting() {
   if (closing_) return;
   closing_ = true;
-  listen(false);
+  setListening(false);
   listener_.close();
-  cutAt_ = loop_.now() + plan_->config.drain;
+  drainDeadline_ = loop_.now() + plan_->config.drain;
   for (auto& [session, client] : clients_) session->shutdown();
 }
 
 void Front::sweep() {
-  sweepTimer_ = loop_.after(kSweep, [this] { sweep(); });
+  sweepTimer_ = loop_.after(kSweepIntervalNs, [this] { sweep(); });
   const Nanos now = loop_.now();
-  // A request that stays open for long is a stream: its server's silence says nothing, and it is not
-  // repeated.
-  while (!unended_.empty() && now - unended_.begin()->first > plan_->config.openAfter) {
-    auto* e = unended_.begin()->second;
-    unended_.erase(unended_.begin());
-    e->slow = true;
-    e->upstream->keep(*e);
+  // A request that has been open for long is taken for a long-lived stream: it is not sent again, and the
+  // lack of a response says nothing about the server.
+  while (!incompleteRequests_.empty() && now - incompleteRequests_.begin()->first > plan_->config.openAfter) {
+    auto* exchange = incompleteRequests_.begin()->second;
+    incompleteRequests_.erase(incompleteRequests_.begin());
+    exchange->longOpen = true;
+    exchange->upstream->commitToNewest(*exchange);
   }
-  if (closing_ && now >= cutAt_) {
+  if (closing_ && now >= drainDeadline_) {
     std::vector<std::shared_ptr<Exchange>> open;
     for (const auto& [session, client] : clients_)
-      for (const auto& [id, e] : client->streams)
-        if (!e->trailers) open.push_back(e);
-    for (const auto& e : open) {
+      for (const auto& [id, exchange] : client->streams)
+        if (!exchange->trailers) open.push_back(exchange);
+    for (const auto& exchange : open) {
       ++counters_.cutAtDrain;
-      fail(*e, calls::Code::unavailable, "the broker is going away");
+      fail(*exchange, calls::Code::unavailable, "the broker is going away");
     }
   }
   if (!pressure_.full()) return;
-  // The buffers are full: who has taken nothing for longest holds them.
-  http2::Session* worst = nullptr;
+  // End the connection of the client that holds buffered responses and has made no progress for longest.
+  http2::Session* longestStalled = nullptr;
   for (const auto& [session, client] : clients_) {
-    const bool holds = std::any_of(client->streams.begin(), client->streams.end(),
-                                   [](const auto& s) { return s.second->response.kept() > 0; });
-    if (!holds || now - client->progressAt < kStalled) continue;
-    if (!worst || client->progressAt < clients_.at(worst)->progressAt) worst = session;
+    const bool holdsBuffers =
+        std::any_of(client->streams.begin(), client->streams.end(),
+                    [](const auto& stream) { return stream.second->response.kept() > 0; });
+    if (!holdsBuffers || now - client->lastProgressAt < kStalledClientNs) continue;
+    if (!longestStalled || client->lastProgressAt < clients_.at(longestStalled)->lastProgressAt)
+      longestStalled = session;
   }
-  if (worst) worst->calm("reads nothing while the buffers are full");
+  if (longestStalled) longestStalled->terminateForAbuse("stalled reader while the buffers are full");
 }
 
 }  // namespace topazweir::grpc
--- a/src/grpc/front.hpp
+++ b/src/grpc/front.hpp
@@ -1,4 +1,5 @@
-// The gRPC front: HTTP/2 connections of clients, each call handed to the core, its one final status written.
+// The gRPC front: accepts HTTP/2 connections of clients, submits each call to the core of its pool, and
+// writes the response with its one final status. Serves grpc.health.v1 itself.
 #pragma once
 
 #include <Poco/Net/ServerSocket.h>
@@ -18,18 +19,19 @@
 namespace topazweir::grpc {
 
 struct FrontCounters {
-  std::uint64_t calls = 0;      // that came, health checks included
-  std::uint64_t malformed = 0;  // refused for what they are: no gRPC, no such path, a bad timeout
-  std::uint64_t unrouted = 0;   // no route matches
-  std::uint64_t shed = 0;       // refused since the buffers were full
-  std::uint64_t cancelled = 0;  // by their clients
-  std::uint64_t floods = 0;     // connections ended with ENHANCE_YOUR_CALM
-  std::uint64_t health = 0;
-  std::uint64_t cutAtDrain = 0;                         // still open when the drain's time was up
-  std::array<std::uint64_t, calls::kCodes> statuses{};  // final ones, by code
+  std::uint64_t calls = 0;       // received, health checks included
+  std::uint64_t malformed = 0;   // refused as invalid: not gRPC, a bad path or timeout, no shard key
+  std::uint64_t unrouted = 0;    // no route matches
+  std::uint64_t shed = 0;        // refused because the buffers were full
+  std::uint64_t cancelled = 0;   // by their clients
+  std::uint64_t floods = 0;      // connections ended with ENHANCE_YOUR_CALM
+  std::uint64_t health = 0;      // health checks
+  std::uint64_t cutAtDrain = 0;  // still open when the drain time had passed
+  std::array<std::uint64_t, calls::kCodes> statuses{};  // final statuses, by code
 };
 
-// One reading of the configuration, with what is made of it. Calls keep theirs until they end.
+// One reading of the configuration, with its compiled routes. A call keeps the one under which it was
+// accepted.
 struct Plan {
   config::Grpc config;
   calls::Routes routes;
@@ -37,39 +39,46 @@
 
 class Front : public Downstream, private http2::Session::Handler {
  public:
+  // Listens at once. Throws Poco::Exception if the address is in use.
   Front(net::Loop& loop, broker::Log& log, std::shared_ptr<const Plan> plan);
   ~Front() override;
 
-  // For the calls that come from now on.
-  void use(std::shared_ptr<const Plan> plan, std::vector<Core*> cores);
-  void drain();                                    // health says NOT_SERVING
-  void stopAccepting();                            // no new connections; GOAWAY to those there are
-  bool quiet() const { return clients_.empty(); }  // after stopAccepting: all is answered and written
+  // Applies a configuration to the calls that arrive from now on. `cores`: by pool.
+  void updatePlan(std::shared_ptr<const Plan> plan, std::vector<Core*> cores);
+  // Health checks answer NOT_SERVING from now on.
+  void drain();
+  // Starts the graceful shutdown: no new connections, GOAWAY to the open ones; calls still open after the
+  // drain time end with UNAVAILABLE.
+  void stopAccepting();
+  // After stopAccepting(): all calls are answered and all connections closed.
+  bool quiet() const { return clients_.empty(); }
   Poco::Net::SocketAddress address() const { return listener_.address(); }
   const FrontCounters& counters() const { return counters_; }
   const calls::Pressure& pressure() const { return pressure_; }
   std::size_t connections() const { return clients_.size(); }
   std::size_t streams() const;
 
-  void requestTaken(Exchange& exchange, std::size_t bytes) override;
-  void responseHead(Exchange& exchange) override;
-  void responseMore(Exchange& exchange) override;
-  void finished(Exchange& exchange, const broker::FinalAnswer& answer);  // the core has booked the end
+  void acknowledgeRequest(Exchange& exchange, std::size_t bytes) override;
+  void onResponseHead(Exchange& exchange) override;
+  void onResponseData(Exchange& exchange) override;
+  // The core has finished the call: writes its final status.
+  void onCallFinished(Exchange& exchange, const broker::FinalAnswer& answer);
 
  private:
   struct Client {
     std::unique_ptr<http2::Session> session;
     std::map<http2::StreamId, std::shared_ptr<Exchange>> streams;
-    Nanos progressAt = 0;  // bytes went out, or none waited
+    Nanos lastProgressAt = 0;  // when it last took bytes of a response
   };
-  struct Watch {  // of a health check: a stream that gets each change
+  // An open Health/Watch call, which gets a message at each change.
+  struct Watch {
     std::shared_ptr<Exchange> exchange;
     std::string service;
-    Serving told = Serving::unknown;
+    Serving lastSent = Serving::unknown;
   };
 
   void onAccept(Poco::Net::ReadableNotification* event);
-  void listen(bool on);
+  void setListening(bool on);
   void onHead(http2::Session& session, http2::StreamId id, calls::Fields head, bool end) override;
   void onData(http2::Session& session, http2::StreamId id, std::string_view bytes) override;
   void onEnd(http2::Session& session, http2::StreamId id, calls::Fields trailers) override;
@@ -78,17 +87,23 @@
   void onGone(http2::Session& session, net::ConnectionEnd end) override;
   void onFlood(http2::Session& session, std::string_view what) override;
 
-  std::shared_ptr<Exchange> find(http2::Session& session, http2::StreamId id) const;
-  void take(http2::Session& session, http2::StreamId id, calls::Fields head, bool end);
-  void refuse(http2::Session& session, http2::StreamId id, int http, calls::Code code, std::string_view words,
-              std::optional<Nanos> comeBack = std::nullopt);
-  void fail(Exchange& exchange, calls::Code code, std::string_view words);
-  void end(Exchange& exchange, calls::Final final);  // writes the one final status
+  std::shared_ptr<Exchange> findExchange(http2::Session& session, http2::StreamId id) const;
+  // Validates and routes a call, and submits it to its core or answers it as a health check.
+  void acceptCall(http2::Session& session, http2::StreamId id, calls::Fields head, bool end);
+  // Answers a call that was not accepted.
+  void refuse(http2::Session& session, http2::StreamId id, int httpStatus, calls::Code code,
+              std::string_view message, std::optional<Nanos> retryAfter = std::nullopt);
+  // Ends an accepted call with an error of the broker's own.
+  void fail(Exchange& exchange, calls::Code code, std::string_view message);
+  // Writes the final status.
+  void sendFinal(Exchange& exchange, calls::Final final);
   void answerHealth(Exchange& exchange);
   Serving servingOf(const std::string& service) const;
-  void tellWatches();
-  void leave(Exchange& exchange);
-  void report(const Exchange& exchange, const calls::Final& final);
+  void notifyWatches();
+  // The client's stream, or its connection, has closed.
+  void onClientLeft(Exchange& exchange);
+  void logCall(const Exchange& exchange, const calls::Final& final);
+  // Commits long-open requests, ends the drain, and frees full buffers.
   void sweep();
   std::string nextId(const calls::Fields& head);
 
@@ -99,13 +114,16 @@
   calls::Pressure pressure_;
   Poco::Net::ServerSocket listener_;
   std::unordered_map<http2::Session*, std::unique_ptr<Client>> clients_;
-  std::map<Exchange*, Watch> watches_;             // of health, by their streams
-  std::set<std::pair<Nanos, Exchange*>> unended_;  // open calls whose requests are not yet whole, by age
+  std::map<Exchange*, Watch> watches_;
+  // Open calls whose requests have not ended, oldest first.
+  std::set<std::pair<Nanos, Exchange*>> incompleteRequests_;
   net::Loop::TimerId sweepTimer_{};
   FrontCounters counters_;
   std::uint64_t lastId_ = 0;
-  bool listening_ = false, draining_ = false, closing_ = false;
-  Nanos cutAt_ = 0;
+  bool listening_ = false;
+  bool draining_ = false;  // health checks answer NOT_SERVING
+  bool closing_ = false;   // stopAccepting() was called
+  Nanos drainDeadline_ = 0;
 };
 
 }  // namespace topazweir::grpc
--- a/src/grpc/health.hpp
+++ b/src/grpc/health.hpp
@@ -1,5 +1,5 @@
-// grpc.health.v1.Health (grpc/health/v1/health.proto) for the broker's own routes: the few bytes of its
-// messages, and what each service is said to be. No I/O.
+// Messages of grpc.health.v1.Health (grpc/health/v1/health.proto), encoded by hand: the broker answers health
+// checks for the services of its own routes. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -11,9 +11,11 @@
 
 inline constexpr std::string_view kHealthService = "grpc.health.v1.Health";
 
+// HealthCheckResponse.ServingStatus, with its values on the wire.
 enum class Serving : std::uint8_t { unknown = 0, serving = 1, notServing = 2, serviceUnknown = 3 };
 
-// The service named in one length-prefixed HealthCheckRequest; none: malformed.
+// The service named in a body of one length-prefixed HealthCheckRequest; empty: the server as a whole. No
+// value: the body is malformed or compressed.
 std::optional<std::string> readHealthRequest(std::string_view body);
 // A length-prefixed HealthCheckResponse.
 std::string writeHealthResponse(Serving status);
--- a/src/grpc/side.hpp
+++ b/src/grpc/side.hpp
@@ -1,5 +1,4 @@
-// All that the block "grpc" of the operator file switches on, wired together: the front, and the cores behind
-// it.
+// The gRPC service, enabled by the block "grpc" of the operator file: the front and the cores behind it.
 #pragma once
 
 #include <map>
@@ -18,35 +17,42 @@
   Side(const Side&) = delete;
   Side& operator=(const Side&) = delete;
 
-  // Calls that come from now on go by the fresh configuration; those that are open keep theirs. The keys that
-  // only a restart applies are returned, and keep their old values.
-  std::vector<std::string> reload(config::Grpc fresh);
+  // Applies a configuration to the calls that arrive from now on; open calls keep theirs. Returns the changed
+  // keys that take effect only after a restart and keep their old values until then.
+  std::vector<std::string> reload(config::Grpc newConfig);
 
   const config::Grpc& config() const { return plan_->config; }
   Front& front() { return front_; }
   const Front& front() const { return front_; }
+  // The oldest core.
   const Core& core() const { return *cores_.front(); }
-  // Open calls of all cores.
+  // Open calls in all cores.
   std::size_t open() const;
+  // Cores, including those that only finish their open calls.
   std::size_t cores() const { return cores_.size(); }
-  // Counters as "name value" lines.
+  // All counters, as lines of "name value", each name with the prefix.
   std::string print(const std::string& prefix) const;
-  // What the broker's own counters are over all cores, the ended ones included.
+  // The broker's counters, summed over all cores, including those already destroyed.
   broker::Counters counters() const;
 
  private:
-  void useCores();
-  void retire();
+  // Keeps the core of each pool whose settings fit, so that what it has learned of its servers is kept, and
+  // creates the others.
+  void updateCores();
+  // Destroys the cores that no longer belong to a pool and have no open calls, with their connections.
+  void destroyIdleCores();
 
   net::Loop& loop_;
   broker::Log& log_;
   std::shared_ptr<const Plan> plan_;
-  std::map<std::string, Core*, std::less<>> current_;  // by pool
-  std::vector<std::unique_ptr<Core>> cores_;  // the current ones, and those that only finish what they hold
-  broker::Counters past_;                     // of the cores that have ended
-  BackendCounters pastBackend_;
+  std::map<std::string, Core*, std::less<>> currentCores_;  // by pool
+  // The current cores, and those that only finish their open calls.
+  std::vector<std::unique_ptr<Core>> cores_;
+  // Counters of the cores already destroyed.
+  broker::Counters destroyedCounters_;
+  BackendCounters destroyedBackendCounters_;
   Front front_;
-  net::Loop::TimerId retireTimer_{};
+  net::Loop::TimerId destroyTimer_{};
 };
 
 }  // namespace topazweir::grpc
--- a/src/http2/session.hpp
+++ b/src/http2/session.hpp
@@ -1,9 +1,10 @@
-// One HTTP/2 connection (RFC 9113) of either side: nghttp2, a codec without I/O, on `net::Connection` and the
-// loop. It knows streams, fields and flow control, and nothing of what a request means.
+// One HTTP/2 connection (RFC 9113), as client or server: nghttp2, used as a codec without I/O, on top of
+// `net::Connection` and the event loop. It handles streams, header fields and flow control; what a request
+// means is up to the handler.
 //
-// Memory: a stream's unread input is bounded by its window, which is opened again only by consume(); the
-// output is pulled from the handler when the connection has room, so nothing is queued here beyond
-// kMostQueued bytes.
+// Memory: the unread input of a stream is bounded by its flow-control window, which only consume() reopens.
+// The handler is asked for output only while the connection has room, so that no more than kMaxQueuedBytes is
+// buffered here.
 #pragma once
 
 #include <nghttp2/nghttp2.h>
@@ -27,75 +28,96 @@
 enum class Role { client, server };
 
 struct Limits {
-  std::size_t headBytes =
-      16 * 1024;                    // of one head, names and values and 32 for each (RFC 9113 section 6.5.2)
-  std::uint32_t streams = 256;      // that the peer may have open; told in SETTINGS
-  std::int32_t window = 64 * 1024;  // bytes of a stream that may come unread
+  // Size of a header list: names and values, and 32 bytes for each field (RFC 9113 section 6.5.2).
+  std::size_t headBytes = 16 * 1024;
+  // Streams that the peer may have open at once; announced in SETTINGS.
+  std::uint32_t streams = 256;
+  // Flow-control window of a stream: bytes that the peer may send before consume().
+  std::int32_t window = 64 * 1024;
+  // Flow-control window of the connection, in bytes.
   std::int32_t connectionWindow = 4 * 1024 * 1024;
-  Nanos keepalive =
-      0;  // nothing came for so long while streams are open: PING, and the same once more: it is dead
+  // After this long without input while streams are open, a PING is sent; after as long again without input
+  // the connection is closed as unresponsive. 0: never.
+  Nanos keepalive = 0;
 };
 
-// What a stream has to send next.
+// What Handler::onPull has written, and what follows on the stream.
 struct Pulled {
-  std::size_t size = 0;
-  enum class Then { more, wait, end, trailers } then = Then::more;  // wait: until resume(). trailers: `last`
+  std::size_t size = 0;  // bytes written
+  // more: call again when there is room; wait: only after resume(); end: END_STREAM; trailers: the fields in
+  // `last`, then END_STREAM.
+  enum class Then { more, wait, end, trailers } then = Then::more;
   Fields last;
 };
 
 class Session : private net::Connection::Owner {
  public:
+  // Receives the events of a session. All calls come from the loop's thread.
   class Handler {
    public:
     virtual ~Handler() = default;
-    virtual void onUp(Session&) {}
-    // A head: of a request, or of a response (informational ones left out).
+    virtual void onConnected(Session&) {}
+    // The header fields of a request, or of a response (not of informational responses). Empty: they were
+    // over Limits::headBytes.
     virtual void onHead(Session&, StreamId stream, Fields head, bool end) = 0;
     virtual void onData(Session&, StreamId stream, std::string_view bytes) = 0;
-    // END_STREAM after the head; the trailers, if there were any.
+    // END_STREAM in a later frame than the header fields, with the trailers if there were any.
     virtual void onEnd(Session&, StreamId stream, Fields trailers) = 0;
-    // The stream is over, in order or not: `code` of RFC 9113 section 7. Nothing more comes for it.
+    // The stream is closed, normally or not; `code`: RFC 9113 section 7. No more events follow for it.
     virtual void onClosed(Session&, StreamId stream, std::uint32_t code) = 0;
     virtual void onGoaway(Session&, StreamId /*last*/, std::uint32_t /*code*/) {}
-    // `to` has room for `most` bytes. Called only for streams that were given a body.
+    // Write at most `most` bytes of the body to `to`. Called only for streams that have a body.
     virtual Pulled onPull(Session&, StreamId stream, char* to, std::size_t most) = 0;
-    // The connection is over: no more calls, for its streams neither. The session may be destroyed after it.
+    // The connection has ended. No more events follow, not even onClosed for its streams. The session may be
+    // destroyed after this call, but not within it.
     virtual void onGone(Session&, net::ConnectionEnd end) = 0;
-    // The peer floods; the connection will end with ENHANCE_YOUR_CALM.
+    // The peer is over a limit; its connection will end with ENHANCE_YOUR_CALM. `what`: the reason, for the
+    // log.
     virtual void onFlood(Session&, std::string_view /*what*/) {}
   };
 
+  // The server's end of an accepted socket.
   static std::unique_ptr<Session> accept(net::Loop& loop, const Poco::Net::StreamSocket& socket,
                                          Limits limits, Handler& handler);
+  // The client's end of a new connection. `timeout`: for the TCP connection to be established.
   static std::unique_ptr<Session> connect(net::Loop& loop, const Poco::Net::SocketAddress& peer,
                                           Nanos timeout, Limits limits, Handler& handler);
   ~Session() override;
   Session(const Session&) = delete;
   Session& operator=(const Session&) = delete;
 
-  // Client: a new stream; below 0: none can be had here. With a body unless `end`.
+  // Client: opens a stream, with a body unless `end`. Negative: this connection takes no more streams.
   StreamId request(const Fields& head, bool end);
-  // Server: the head of a response, with a body behind it; or a response that is a head alone
-  // (trailers-only).
+  // Server: starts a response that has a body.
   void respond(StreamId stream, const Fields& head);
-  void respondOnly(StreamId stream, const Fields& head);
-  void resume(StreamId stream);  // there is something to pull
+  // Server: a response of header fields alone (gRPC: Trailers-Only).
+  void respondHeadersOnly(StreamId stream, const Fields& head);
+  // There is output again for a stream whose last onPull returned Pulled::Then::wait.
+  void resume(StreamId stream);
+  // Sends RST_STREAM.
   void reset(StreamId stream, std::uint32_t code);
-  void consume(StreamId stream, std::size_t bytes);  // the peer may send so many more on it
-  // Graceful end of a server (RFC 9113 section 6.8): GOAWAY with the highest id, and with the last one served
-  // after a round trip; streams that are open go on.
+  // Reopens the stream's flow-control window by `bytes`.
+  void consume(StreamId stream, std::size_t bytes);
+  // Server: graceful shutdown (RFC 9113 section 6.8). Sends GOAWAY with the highest stream id and, a round
+  // trip later, with the last one that was processed. Open streams continue.
   void shutdown();
-  void calm(std::string_view what);  // GOAWAY(ENHANCE_YOUR_CALM) and the end
-  void close();                      // at once; no onGone
+  // Sends GOAWAY(ENHANCE_YOUR_CALM) and ends the connection. `what`: the reason, for Handler::onFlood.
+  void terminateForAbuse(std::string_view what);
+  // Closes the connection at once, without onGone.
+  void close();
 
   bool up() const { return connection_->up(); }
-  std::size_t peerStreams() const;  // streams that the peer allows
-  std::size_t backlog() const {
+  // Streams that the peer allows to be open at once.
+  std::size_t maxPeerStreams() const;
+  // Bytes that wait for the socket.
+  std::size_t backlogBytes() const {
     return static_cast<std::size_t>(connection_->queued() - connection_->written());
   }
-  // Whether the stream's head has been taken by the socket: until then its peer cannot have run it.
+  // Client: whether the socket has taken the request's header fields. Until then the peer cannot have
+  // processed the request.
   bool headWritten(StreamId stream) const;
-  bool exhausted() const { return exhausted_; }  // no stream numbers left, or it is going away
+  // Client: no new streams can be opened, since the stream ids are used up or the peer has sent GOAWAY.
+  bool exhausted() const { return exhausted_; }
 
  private:
   Session(net::Loop& loop, Role role, Limits limits, Handler& handler);
@@ -104,19 +126,23 @@
   void onData(net::Connection& connection) override;
   void onFlushed(net::Connection& connection) override;
   void onEnd(net::Connection& connection, net::ConnectionEnd end) override;
-  void touch();  // something may have to be written: soon, together with what else this round brings
+  // Flushes in the next turn of the loop, so that the frames of one turn go out in one write.
+  void scheduleFlush();
   void flush();
-  void watchPeer();
-  void takeHead(StreamId stream, bool end);
-  void spend(Guard::Cost cost, std::string_view what);
+  void checkKeepalive();
+  // A complete block of header fields has been received: of a request, a response, or trailers.
+  void onHeaderBlock(StreamId stream, bool end);
+  // Counts a frame against the guard. `what`: its kind, for the log.
+  void countFrame(Guard::Cost cost, std::string_view what);
 
   struct Callbacks;
   struct Stream {
-    Fields head;  // being received
-    std::size_t headBytes = 0;
-    bool headBegun = false;     // client: it has been handed to the connection
-    std::uint64_t headEnd = 0;  // client: offset behind its head among the bytes written; 0: not yet queued
-    bool headSeen = false;      // a head has come whole: the next one is trailers
+    Fields head;                 // received so far
+    std::size_t headBytes = 0;   // as Limits::headBytes counts them
+    bool headSendBegun = false;  // client: nghttp2 has begun to serialise its header fields
+    // Client: offset of the end of its header fields in the bytes of the connection; 0: not yet serialised.
+    std::uint64_t headEndOffset = 0;
+    bool headReceived = false;  // a complete head has been received: the next one is trailers
   };
 
   net::Loop& loop_;
@@ -127,12 +153,19 @@
   std::shared_ptr<net::Connection> connection_;
   nghttp2_session* session_ = nullptr;
   std::map<StreamId, Stream> streams_;
-  std::uint64_t produced_ = 0;  // bytes taken out of nghttp2
-  net::Loop::TimerId flushTimer_{}, drainTimer_{}, aliveTimer_{};
-  Nanos heardAt_ = 0;
-  bool flushing_ = false, scheduled_ = false, exhausted_ = false, ending_ = false, pinged_ = false,
-       bomb_ = false, flooded_ = false;
-  // Guards against use after the handler has let go of the session within one of its calls.
+  std::uint64_t serializedBytes_ = 0;  // taken out of nghttp2 so far
+  net::Loop::TimerId flushTimer_{};
+  net::Loop::TimerId shutdownTimer_{};
+  net::Loop::TimerId keepaliveTimer_{};
+  Nanos lastInputAt_ = 0;
+  bool flushing_ = false;
+  bool flushScheduled_ = false;
+  bool exhausted_ = false;
+  bool terminating_ = false;
+  bool pingSent_ = false;          // and no input since
+  bool headFarOverLimit_ = false;  // decoding has stopped
+  bool floodReported_ = false;
+  // False once the session has been destroyed: checked by deferred calls.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
