--- a/tests/grpc_wire_test.cpp
+++ b/tests/grpc_wire_test.cpp
@@ -1,28 +1,30 @@
-// gRPC through the broker, with grpc++ on both sides: what a client sees must be what its server said.
+// gRPC through the broker, with grpc++ on both sides: a client must see what its server sent. Guards against
+// changed messages, metadata and statuses, and against deadlines and cancellations that do not reach the
+// server.
 #include "grpc_world.hpp"
 
 namespace topazweir::test {
 namespace {
 
-std::string pool(const std::vector<const Server*>& servers, const std::string& name = "p") {
+std::string poolBlock(const std::vector<const Server*>& servers, const std::string& name = "p") {
   std::string out = "pool \"" + name + "\" {\n";
   for (const auto* s : servers) out += "backend \"" + s->address + "\" {}\n";
   return out + "}\n";
 }
 
-std::string file(const std::string& inside) {
+std::string operatorFile(const std::string& inside) {
   return "grpc {\n listen = \"127.0.0.1:0\"\n" + inside + "\n}\n";
 }
 
-std::string safe(const std::string& more = "") {
+std::string safeRoute(const std::string& more = "") {
   return "route \"all\" {\n pool = \"p\"\n effect = \"safe\"\n deadlineMs = 20000\n messageBytes = "
          "100000000\n" +
          more + "\n}\n";
 }
 
-void everyKindOfCall() {
+void allCallTypes() {
   Server server;
-  Broker broker(file(pool({&server}) + safe()));
+  Broker broker(operatorFile(poolBlock({&server}) + safeRoute()));
   Client client(broker.address);
 
   Call unary("/t.T/Echo", {"hello"});
@@ -51,11 +53,11 @@
   large.run(*client.stub);
   CHECK(large.status.ok() && large.received.size() == 1 && large.received[0].size() == 20'000'000);
 
-  Call squeezed("/t.T/Echo",
-                {std::string(50'000, 'z')});  // the flag and the bytes of a compressed message go on
-  squeezed.context.set_compression_algorithm(GRPC_COMPRESS_GZIP);
-  squeezed.run(*client.stub);
-  CHECK(squeezed.status.ok() && squeezed.received == std::vector<std::string>{std::string(50'000, 'z')});
+  // The compressed flag and the bytes of the message are passed on unchanged.
+  Call compressed("/t.T/Echo", {std::string(50'000, 'z')});
+  compressed.context.set_compression_algorithm(GRPC_COMPRESS_GZIP);
+  compressed.run(*client.stub);
+  CHECK(compressed.status.ok() && compressed.received == std::vector<std::string>{std::string(50'000, 'z')});
 
   Call empty("/t.T/Sum", {});
   empty.run(*client.stub);
@@ -64,9 +66,9 @@
         broker.counter("status{code=OK}") == 7);
 }
 
-void statusesAsTheyWereGiven() {
+void statusesPassThrough() {
   Server server;
-  Broker broker(file(pool({&server}) + safe("attempts = 1")));
+  Broker broker(operatorFile(poolBlock({&server}) + safeRoute("attempts = 1")));
   Client client(broker.address);
   for (int code = 1; code <= 16; ++code) {
     for (const char* after : {"0", "1"}) {
@@ -85,73 +87,75 @@
   CHECK(broker.counter("answered") + broker.counter("refused") + broker.counter("failed") == 32);
 }
 
-void deadlinesGoOn() {
+void deadlinePropagation() {
   Server server;
-  Broker broker(file(pool({&server}) + "route \"all\" {\n pool = \"p\"\n deadlineMs = 3000\n}\n"));
+  Broker broker(
+      operatorFile(poolBlock({&server}) + "route \"all\" {\n pool = \"p\"\n deadlineMs = 3000\n}\n"));
   Client client(broker.address);
-  // Carried forward, less what was spent.
+  // The client's deadline is passed on, less the time already used.
   Call quick("/t.T/Echo", {"a"}, 2000);
   const auto before = std::chrono::system_clock::now();
   quick.run(*client.stub);
   CHECK(quick.status.ok());
   CHECK(server.service.lastDeadline <= before + std::chrono::milliseconds(2100));
   CHECK(server.service.lastDeadline >= before + std::chrono::milliseconds(1000));
-  // Bounded by the route's own.
+  // It is limited by the route's deadline.
   Call loose("/t.T/Echo", {"a"}, 50'000);
   loose.run(*client.stub);
   CHECK(server.service.lastDeadline <= std::chrono::system_clock::now() + std::chrono::milliseconds(3000));
-  // The broker's own time runs out first: the client is told so, and the server is called off.
+  // The route's deadline passes first: the client gets DEADLINE_EXCEEDED, and the server's call is cancelled.
   Call hung("/t.T/Hang", {"a"}, 50'000);
   hung.run(*client.stub);
   CHECK(hung.status.error_code() == ::grpc::StatusCode::DEADLINE_EXCEEDED);
-  CHECK(hung.took >= 2900 * kMs && hung.took < 8000 * kMs);
-  CHECK(soon([&] { return server.service.open == 0; }));
-  // Mid-stream, both ways.
+  CHECK(hung.duration >= 2900 * kMs && hung.duration < 8000 * kMs);
+  CHECK(eventually([&] { return server.service.open == 0; }));
+  // In the middle of a bidirectional stream.
   Call chat("/t.T/Echo", {"a", "b"}, 700);
-  chat.keptOpen().run(*client.stub);
+  chat.keepOpen().run(*client.stub);
   CHECK(chat.status.error_code() == ::grpc::StatusCode::DEADLINE_EXCEEDED && chat.received.size() == 2);
-  CHECK(soon([&] { return server.service.open == 0 && broker.counter("open") == 0; }));
+  CHECK(eventually([&] { return server.service.open == 0 && broker.counter("open") == 0; }));
 }
 
-void cancelsReachTheServer() {
+void cancellationPropagation() {
   Server server;
-  Broker broker(file(pool({&server}) + safe()));
+  Broker broker(operatorFile(poolBlock({&server}) + safeRoute()));
   Client client(broker.address);
   Call call("/t.T/Echo", {"a"});
-  call.keptOpen().start(*client.stub);
+  call.keepOpen().start(*client.stub);
   call.waitFor(1);
   call.cancel();
   call.wait();
   CHECK(call.status.error_code() == ::grpc::StatusCode::CANCELLED);
-  CHECK(soon([&] { return server.service.cancelled == 1 && server.service.open == 0; }));
-  Nanos quickest = 1000 * kMs;
-  for (int i = 0; i < 5; ++i) {  // the machine may be busy: the quickest counts
+  CHECK(eventually([&] { return server.service.cancelled == 1 && server.service.open == 0; }));
+  Nanos fastest = 1000 * kMs;
+  for (int i = 0; i < 5; ++i) {  // the fastest counts, since the machine may be busy
     Call again("/t.T/Echo", {"a"});
-    again.keptOpen().start(*client.stub);
+    again.keepOpen().start(*client.stub);
     again.waitFor(1);
     const int before = server.service.cancelled;
     const auto at = std::chrono::steady_clock::now();
     again.cancel();
     while (server.service.cancelled == before) std::this_thread::sleep_for(std::chrono::microseconds(200));
-    const auto took = std::chrono::steady_clock::now() - at;
-    quickest = std::min<Nanos>(quickest, std::chrono::duration_cast<std::chrono::nanoseconds>(took).count());
+    const auto duration = std::chrono::steady_clock::now() - at;
+    fastest =
+        std::min<Nanos>(fastest, std::chrono::duration_cast<std::chrono::nanoseconds>(duration).count());
     again.wait();
   }
-  CHECK(quickest < 50 * kMs);
-  Call upload("/t.T/Hang", {std::string(1'000'000, 'u')});  // gone in the middle of an upload
-  upload.keptOpen().start(*client.stub);
-  CHECK(soon([&] { return server.service.open == 1; }));
+  CHECK(fastest < 50 * kMs);
+  Call upload("/t.T/Hang", {std::string(1'000'000, 'u')});  // cancelled in the middle of an upload
+  upload.keepOpen().start(*client.stub);
+  CHECK(eventually([&] { return server.service.open == 1; }));
   upload.cancel();
   upload.wait();
-  CHECK(soon([&] { return server.service.open == 0 && broker.counter("open") == 0; }));
+  CHECK(eventually([&] { return server.service.open == 0 && broker.counter("open") == 0; }));
   CHECK(broker.counter("cancelled") == 7 && broker.counter("abandoned") == 7);
-  CHECK(soon([&] { return broker.counter("buffered_bytes") == 0; }));
+  CHECK(eventually([&] { return broker.counter("buffered_bytes") == 0; }));
 }
 
-void furtherAttempts() {
+void retries() {
   Server good("good"), bad("bad");
-  bad.service.takesNothing = true;
-  Broker broker(file(pool({&good, &bad}) + safe("retryOn = [\"RESOURCE_EXHAUSTED\"]")));
+  bad.service.rejectsAll = true;
+  Broker broker(operatorFile(poolBlock({&good, &bad}) + safeRoute("retryOn = [\"RESOURCE_EXHAUSTED\"]")));
   Client client(broker.address);
   int again = 0;
   for (int i = 0; i < 40; ++i) {
@@ -160,16 +164,16 @@
     CHECK(call.status.ok() && call.received == std::vector<std::string>{"m" + std::to_string(i)});
     CHECK(call.trailer("x-server") == "good");
     const std::lock_guard<std::mutex> lock(good.service.mutex);
-    const auto told = good.service.lastMetadata.find("grpc-previous-rpc-attempts");
-    if (told == good.service.lastMetadata.end()) continue;
+    const auto previousAttempts = good.service.lastMetadata.find("grpc-previous-rpc-attempts");
+    if (previousAttempts == good.service.lastMetadata.end()) continue;
     ++again;
-    CHECK(std::stoi(told->second) >= 1);
+    CHECK(std::stoi(previousAttempts->second) >= 1);
   }
   CHECK(bad.service.calls >= 1 && again >= 1);
-  // Unsafe: what a server has said after it has taken the call is final.
-  Broker careful(
-      file(pool({&bad}) + "route \"all\" {\n pool = \"p\"\n retryOn = [\"RESOURCE_EXHAUSTED\"]\n}\n"));
-  Client other(careful.address);
+  // Unsafe: a status from a server that has accepted the call is final.
+  Broker unsafeBroker(operatorFile(
+      poolBlock({&bad}) + "route \"all\" {\n pool = \"p\"\n retryOn = [\"RESOURCE_EXHAUSTED\"]\n}\n"));
+  Client other(unsafeBroker.address);
   const int before = bad.service.calls;
   Call once("/t.T/Echo", {"m"});
   once.run(*other.stub);
@@ -186,7 +190,7 @@
                           "\" { shards = [1] }\n}\n"
                           "route \"m\" {\n service = \"t.T\"\n method = \"Echo\"\n pool = \"two\"\n}\n"
                           "route \"s\" {\n service = \"t.T\"\n pool = \"one\"\n}\n";
-  Broker broker(file(hcl));
+  Broker broker(operatorFile(hcl));
   Client client(broker.address);
   std::map<std::string, std::string> home;
   for (int round = 0; round < 2; ++round)
@@ -210,47 +214,46 @@
   CHECK(nowhere.status.error_code() == ::grpc::StatusCode::UNIMPLEMENTED && broker.counter("unrouted") == 1);
 }
 
-void aThousandAtOnce() {
+void thousandConcurrentCalls() {
   Server server;
-  Broker broker(file("streams = 1000\n" + pool({&server}) + safe()));
+  Broker broker(operatorFile("streams = 1000\n" + poolBlock({&server}) + safeRoute()));
   Client client(broker.address);
   std::vector<std::unique_ptr<Call>> calls;
   for (int i = 0; i < 1000; ++i) {
     calls.push_back(
         std::make_unique<Call>("/t.T/Echo", std::vector<std::string>{"a" + std::to_string(i)}, 60'000));
-    calls.back()->keptOpen().start(*client.stub);
+    calls.back()->keepOpen().start(*client.stub);
   }
   std::size_t in = 0;
-  // The pool allows 2 connections of 100 streams, and 100 calls that wait for one: the rest is refused at
-  // once.
-  CHECK(soon([&] { return broker.counter("refused") == 700; }));
+  // The pool allows 2 connections of 100 streams, and a queue of 100 calls: the others are refused at once.
+  CHECK(eventually([&] { return broker.counter("refused") == 700; }));
   const auto arrived = [&] {
     in = 0;
     for (auto& call : calls) in += call->count();
     return in;
   };
-  CHECK(soon([&] { return arrived() == 200; }));
+  CHECK(eventually([&] { return arrived() == 200; }));
   for (auto& call : calls) {
     if (call->ends == 0) continue;
-    CHECK(call->status.error_code() == ::grpc::StatusCode::UNAVAILABLE && call->took < 5000 * kMs);
+    CHECK(call->status.error_code() == ::grpc::StatusCode::UNAVAILABLE && call->duration < 5000 * kMs);
     CHECK(!call->trailer("grpc-retry-pushback-ms").empty());
   }
-  int left = 100;  // what waits takes the places of these
+  int left = 100;  // the queued calls get the streams of these
   for (auto& call : calls)
     if (left > 0 && call->count() == 1) {
       call->cancel();
       --left;
     }
-  CHECK(soon([&] { return arrived() == 300; }));
+  CHECK(eventually([&] { return arrived() == 300; }));
   for (auto& call : calls) call->cancel();
   for (auto& call : calls) {
     call->wait();
     CHECK(call->ends == 1);
   }
-  CHECK(soon([&] { return server.service.open == 0 && broker.counter("open") == 0; }));
+  CHECK(eventually([&] { return server.service.open == 0 && broker.counter("open") == 0; }));
 
-  Broker wide(file("streams = 1000\npool \"p\" {\n streams = 1000\n connections = 1\n backend \"" +
-                   server.address + "\" {}\n}\n" + safe("aimMs = 10000")));
+  Broker wide(operatorFile("streams = 1000\npool \"p\" {\n streams = 1000\n connections = 1\n backend \"" +
+                           server.address + "\" {}\n}\n" + safeRoute("aimMs = 10000")));
   Client second(wide.address);
   calls.clear();
   for (int i = 0; i < 1000; ++i) {
@@ -269,15 +272,16 @@
   CHECK(good == 1000);
 }
 
-void reloadsWhileInUse() {
+void reloadDuringCalls() {
   Server old("old"), fresh("fresh");
-  Broker broker(file(pool({&old}) + safe()));
+  Broker broker(operatorFile(poolBlock({&old}) + safeRoute()));
   Client client(broker.address);
   Call kept("/t.T/Echo", {"a"});
-  kept.keptOpen().start(*client.stub);
+  kept.keepOpen().start(*client.stub);
   kept.waitFor(1);
-  // Another shape: the route is gone, another one leads elsewhere.
-  broker.reload(file(pool({&fresh}, "q") + "route \"n\" {\n service = \"t.N\"\n pool = \"q\"\n}\n"));
+  // Other routes and pools: a new core; the old one finishes its open call.
+  broker.reload(
+      operatorFile(poolBlock({&fresh}, "q") + "route \"n\" {\n service = \"t.N\"\n pool = \"q\"\n}\n"));
   Call moved("/t.N/Sum", {"x"}), gone("/t.T/Sum", {"x"});
   moved.run(*client.stub);
   gone.run(*client.stub);
@@ -286,20 +290,21 @@
   CHECK(broker.counter("cores") == 2 && kept.ends == 0);
   kept.cancel();
   kept.wait();
-  CHECK(soon([&] { return broker.counter("cores") == 1; }));
-  // The same shape: a backend that drains gets nothing new, and what it holds goes on.
+  CHECK(eventually([&] { return broker.counter("cores") == 1; }));
+  // Only the state of a backend changes: the same core. A draining backend gets no new calls; its open calls
+  // go on.
   Server third("third");
   const auto two = [&](const char* state) {
-    return file("pool \"q\" {\n backend \"" + fresh.address + "\" { state = \"" + state +
-                "\" }\n backend \"" + third.address +
-                "\" {}\n}\nroute \"n\" {\n service = \"t.N\"\n pool = \"q\"\n}\n");
+    return operatorFile("pool \"q\" {\n backend \"" + fresh.address + "\" { state = \"" + state +
+                        "\" }\n backend \"" + third.address +
+                        "\" {}\n}\nroute \"n\" {\n service = \"t.N\"\n pool = \"q\"\n}\n");
   };
   broker.reload(two("ready"));
   CHECK(broker.counter("cores") == 1);
   std::vector<std::unique_ptr<Call>> open;
   for (int i = 0; i < 20; ++i) {
     open.push_back(std::make_unique<Call>("/t.N/Echo", std::vector<std::string>{"a"}));
-    open.back()->keptOpen().start(*client.stub);
+    open.back()->keepOpen().start(*client.stub);
     open.back()->waitFor(1);
   }
   const int before = fresh.service.calls;
@@ -322,10 +327,10 @@
   return service.empty() ? "" : std::string("\x0a") + static_cast<char>(service.size()) + service;
 }
 
-void healthOfItsOwnRoutes() {
+void healthChecks() {
   Server server;
-  const std::string hcl = pool({&server}) + "route \"a\" {\n service = \"t.T\"\n pool = \"p\"\n}\n";
-  Broker broker(file(hcl));
+  const std::string hcl = poolBlock({&server}) + "route \"a\" {\n service = \"t.T\"\n pool = \"p\"\n}\n";
+  Broker broker(operatorFile(hcl));
   Client client(broker.address);
   const auto check = [&](const std::string& service) {
     Call call("/grpc.health.v1.Health/Check", {healthRequest(service)});
@@ -338,13 +343,13 @@
   Call watch("/grpc.health.v1.Health/Watch", {healthRequest("t.T")}, 30'000);
   watch.start(*client.stub);
   watch.waitFor(1);
-  const auto draining = file("pool \"p\" {\n backend \"" + server.address +
-                             "\" { state = \"draining\" }\n}\n"
-                             "route \"a\" {\n service = \"t.T\"\n pool = \"p\"\n}\n");
+  const auto draining = operatorFile("pool \"p\" {\n backend \"" + server.address +
+                                     "\" { state = \"draining\" }\n}\n"
+                                     "route \"a\" {\n service = \"t.T\"\n pool = \"p\"\n}\n");
   broker.reload(draining);
   watch.waitFor(2);
   CHECK(watch.received[0] == std::string("\x08\x01") && watch.received[1] == std::string("\x08\x02"));
-  broker.reload(file(hcl));
+  broker.reload(operatorFile(hcl));
   watch.waitFor(3);
   CHECK(watch.received[2] == std::string("\x08\x01"));
   watch.cancel();
@@ -356,17 +361,18 @@
   CHECK(unknown.status.error_code() == ::grpc::StatusCode::UNIMPLEMENTED);
 }
 
-// Open streams go on to their end, new connections are not taken, clients get GOAWAY; then what is left is
-// ended.
-void drains() {
+// Open calls continue, new connections are not accepted, clients get GOAWAY; after the drain time the
+// remaining calls end with UNAVAILABLE.
+void gracefulShutdown() {
   Server server;
-  auto broker = std::make_unique<Broker>(file("drainMs = 1500\n" + pool({&server}) + safe()));
+  auto broker =
+      std::make_unique<Broker>(operatorFile("drainMs = 1500\n" + poolBlock({&server}) + safeRoute()));
   Client client(broker->address);
   Call slow("/t.T/Slow", {"a"}), endless("/t.T/Echo", {"a"});
   slow.with("x-ms", "700").start(*client.stub);
-  endless.keptOpen().start(*client.stub);
+  endless.keepOpen().start(*client.stub);
   endless.waitFor(1);
-  broker->ask([](grpc::Side& side) {
+  broker->runOnLoop([](grpc::Side& side) {
     side.front().drain();
     side.front().stopAccepting();
     return 0;
@@ -374,14 +380,15 @@
   slow.wait();
   CHECK(slow.status.ok() && slow.received.size() == 1);
   endless.wait();
-  CHECK(endless.status.error_code() == ::grpc::StatusCode::UNAVAILABLE && endless.took >= 1400 * kMs);
-  CHECK(soon([&] { return broker->ask([](grpc::Side& side) { return side.front().quiet(); }); }));
+  CHECK(endless.status.error_code() == ::grpc::StatusCode::UNAVAILABLE && endless.duration >= 1400 * kMs);
+  CHECK(eventually([&] { return broker->runOnLoop([](grpc::Side& side) { return side.front().quiet(); }); }));
   CHECK(broker->counter("cut_at_drain") == 1);
 }
 
-void aMessageOverTheLimit() {
+void messageSizeLimit() {
   Server server;
-  Broker broker(file(pool({&server}) + "route \"all\" {\n pool = \"p\"\n messageBytes = 100000\n}\n"));
+  Broker broker(
+      operatorFile(poolBlock({&server}) + "route \"all\" {\n pool = \"p\"\n messageBytes = 100000\n}\n"));
   Client client(broker.address);
   Call up("/t.T/Echo", {std::string(200'000, 'x')});
   up.run(*client.stub);
@@ -399,15 +406,15 @@
 
 int main() {
   using namespace topazweir::test;
-  everyKindOfCall();
-  statusesAsTheyWereGiven();
-  deadlinesGoOn();
-  cancelsReachTheServer();
-  furtherAttempts();
+  allCallTypes();
+  statusesPassThrough();
+  deadlinePropagation();
+  cancellationPropagation();
+  retries();
   routesAndShards();
-  aThousandAtOnce();
-  reloadsWhileInUse();
-  healthOfItsOwnRoutes();
-  drains();
-  aMessageOverTheLimit();
+  thousandConcurrentCalls();
+  reloadDuringCalls();
+  healthChecks();
+  gracefulShutdown();
+  messageSizeLimit();
 }
--- a/tests/grpc_world.hpp
+++ b/tests/grpc_world.hpp
@@ -1,5 +1,5 @@
-// The gRPC front between an implementation that is not ours on both sides: grpc++ servers and clients,
-// generic ones that know no messages, and the front on a loop of its own thread.
+// Test harness for the gRPC service: generic grpc++ clients and servers, an independent implementation on
+// both sides, and between them the service, on a loop in a thread of its own.
 #pragma once
 
 #include <grpcpp/alarm.h>
@@ -26,11 +26,11 @@
 
 inline constexpr Nanos kMs = 1'000'000;
 
-inline ::grpc::ByteBuffer bytes(const std::string& text) {
+inline ::grpc::ByteBuffer toByteBuffer(const std::string& text) {
   const ::grpc::Slice slice(text);
   return {&slice, 1};
 }
-inline std::string text(const ::grpc::ByteBuffer& buffer) {
+inline std::string toText(const ::grpc::ByteBuffer& buffer) {
   std::vector<::grpc::Slice> slices;
   std::string out;
   if (!buffer.Valid() || !buffer.Dump(&slices).ok()) return out;
@@ -38,37 +38,49 @@
   return out;
 }
 
-// A service of the world outside. What it does stands in the method's name; numbers come in the metadata.
-//   Echo   each message comes back, on unary and on streams
-//   Count  after the first message, x-count messages of x-size bytes
-//   Sum    one message at the end: how many came and their bytes
-//   Fail   status x-code with x-words, after x-after messages (0: trailers-only)
+// A fake service. The name of the method selects what it does, with parameters from the metadata:
+//   Echo   returns each message, for unary and streaming calls
+//   Count  after the first message, returns x-count messages of x-size bytes
+//   Sum    at the end, returns one message: the number of messages received, and their bytes
+//   Fail   ends with status x-code and message x-words, after x-after messages (0: a Trailers-Only response)
 //   Slow   as Echo, x-ms later
-//   Hang   takes the call and says nothing until it is cancelled
+//   Hang   reads the request and does not respond until it is cancelled
+// It also returns metadata x-first* as initial metadata and x-back* as trailing metadata.
 class Service : public ::grpc::CallbackGenericService {
  public:
-  std::atomic<int> calls{0}, open{0}, cancelled{0};
-  std::mutex mutex;
+  std::atomic<int> calls{0};
+  std::atomic<int> open{0};
+  std::atomic<int> cancelled{0};
+  std::mutex mutex;  // for the metadata and the deadline
   std::multimap<std::string, std::string> lastMetadata;
   std::chrono::system_clock::time_point lastDeadline;
-  std::string name;
-  bool takesNothing = false;  // RESOURCE_EXHAUSTED at once
+  std::string name;         // returned as trailing metadata x-server
+  bool rejectsAll = false;  // ends each call with RESOURCE_EXHAUSTED at once
 
  private:
   struct Reactor : ::grpc::ServerGenericBidiReactor {
     Service& service;
     ::grpc::GenericCallbackServerContext& context;
     std::string method;
-    ::grpc::ByteBuffer in, out;
-    long count = 0, size = 0, received = 0, receivedBytes = 0, written = 0, failAfter = 0, ms = 0;
+    ::grpc::ByteBuffer in;
+    ::grpc::ByteBuffer out;
+    long count = 0;      // x-count
+    long size = 0;       // x-size
+    long failAfter = 0;  // x-after
+    long delayMs = 0;    // x-ms
+    long received = 0;   // messages
+    long receivedBytes = 0;
+    long written = 0;  // messages
     int code = 0;
-    std::string words;
-    bool reading = true, finished = false;
+    std::string message;
+    bool reading = true;
+    bool finished = false;
     std::mutex mutex;
     ::grpc::Alarm alarm;
 
     Reactor(Service& s, ::grpc::GenericCallbackServerContext* c) : service(s), context(*c) {
-      ++service.calls, ++service.open;
+      ++service.calls;
+      ++service.open;
       method = context.method().substr(context.method().rfind('/') + 1);
       const auto number = [&](const char* key) {
         const auto at = context.client_metadata().find(key);
@@ -76,10 +88,13 @@
                    ? 0L
                    : std::stol(std::string(at->second.data(), at->second.size()));
       };
-      count = number("x-count"), size = number("x-size"), failAfter = number("x-after"), ms = number("x-ms");
+      count = number("x-count");
+      size = number("x-size");
+      failAfter = number("x-after");
+      delayMs = number("x-ms");
       code = static_cast<int>(number("x-code"));
       if (const auto at = context.client_metadata().find("x-words"); at != context.client_metadata().end())
-        words.assign(at->second.data(), at->second.size());
+        message.assign(at->second.data(), at->second.size());
       {
         const std::lock_guard<std::mutex> lock(service.mutex);
         service.lastMetadata.clear();
@@ -96,18 +111,18 @@
         if (k.rfind("x-first", 0) == 0)
           context.AddInitialMetadata(k, std::string(value.data(), value.size()));
       }
-      if (service.takesNothing) {
-        end(::grpc::Status(::grpc::StatusCode::RESOURCE_EXHAUSTED, "full"));
+      if (service.rejectsAll) {
+        finish(::grpc::Status(::grpc::StatusCode::RESOURCE_EXHAUSTED, "full"));
       } else if (method == "Fail" && failAfter == 0) {
-        end(failure());
+        finish(failure());
       } else {
         StartRead(&in);
       }
     }
     ::grpc::Status failure() const {
-      return ::grpc::Status(static_cast<::grpc::StatusCode>(code), words, "\x01\x02 details");
+      return ::grpc::Status(static_cast<::grpc::StatusCode>(code), message, "\x01\x02 details");
     }
-    void end(const ::grpc::Status& status) {
+    void finish(const ::grpc::Status& status) {
       const std::lock_guard<std::mutex> lock(mutex);
       if (std::exchange(finished, true)) return;
       Finish(status);
@@ -117,40 +132,41 @@
         reading = false;
         if (method == "Hang") return;
         if (method == "Sum") {
-          out = bytes(std::to_string(received) + " " + std::to_string(receivedBytes));
+          out = toByteBuffer(std::to_string(received) + " " + std::to_string(receivedBytes));
           return StartWriteAndFinish(&out, {}, ::grpc::Status::OK);
         }
-        if (method == "Count") return;  // ends with its last message
-        return end(method == "Fail" ? failure() : ::grpc::Status::OK);
+        if (method == "Count") return;  // ends after its last message
+        return finish(method == "Fail" ? failure() : ::grpc::Status::OK);
       }
-      ++received, receivedBytes += static_cast<long>(in.Length());
+      ++received;
+      receivedBytes += static_cast<long>(in.Length());
       if (method == "Sum" || method == "Hang") return StartRead(&in);
       if (method == "Slow") {
-        return alarm.Set(std::chrono::system_clock::now() + std::chrono::milliseconds(ms),
-                         [this](bool) { answer(); });
+        return alarm.Set(std::chrono::system_clock::now() + std::chrono::milliseconds(delayMs),
+                         [this](bool) { writeResponse(); });
       }
-      answer();
+      writeResponse();
     }
-    void answer() {
-      out = method == "Count" ? bytes(std::string(static_cast<std::size_t>(size), 'c')) : in;
+    void writeResponse() {
+      out = method == "Count" ? toByteBuffer(std::string(static_cast<std::size_t>(size), 'c')) : in;
       ++written;
       StartWrite(&out);
     }
     void OnWriteDone(bool ok) override {
-      if (!ok) return end(::grpc::Status::CANCELLED);
+      if (!ok) return finish(::grpc::Status::CANCELLED);
       if (method == "Count") {
         if (written < count) {
           ++written;
           return StartWrite(&out);
         }
-        return end(::grpc::Status::OK);
+        return finish(::grpc::Status::OK);
       }
-      if (method == "Fail" && written >= failAfter) return end(failure());
+      if (method == "Fail" && written >= failAfter) return finish(failure());
       StartRead(&in);
     }
     void OnCancel() override {
       ++service.cancelled;
-      end(::grpc::Status::CANCELLED);
+      finish(::grpc::Status::CANCELLED);
     }
     void OnDone() override {
       --service.open;
@@ -164,6 +180,7 @@
   }
 };
 
+// A grpc++ server with the fake service. `streams`: concurrent streams a connection; 0: no limit.
 struct Server {
   Service service;
   std::string address;
@@ -189,7 +206,7 @@
   }
 };
 
-// The front on its own thread.
+// The gRPC service under test, on a thread of its own.
 class Broker {
  public:
   explicit Broker(const std::string& hcl) : thread_([this, hcl] { run(hcl); }) { ready_.get_future().wait(); }
@@ -199,16 +216,16 @@
   }
   std::string address;
 
-  // Runs on the front's thread; waits for it.
+  // Runs `work` on the loop's thread and returns its result.
   template <class Work>
-  auto ask(Work work) {
+  auto runOnLoop(Work work) {
     std::promise<decltype(work(*side_))> promise;
     auto future = promise.get_future();
     post([&] { promise.set_value(work(*side_)); });
     return future.get();
   }
   void reload(const std::string& hcl) {
-    ask([&](grpc::Side& side) {
+    runOnLoop([&](grpc::Side& side) {
       side.reload(*read(hcl).grpc);
       return 0;
     });
@@ -217,7 +234,7 @@
     return config::readOperator(hcl, "test.hcl", config::standalone(7));
   }
   std::uint64_t counter(const std::string& name) {
-    const auto all = ask([](grpc::Side& side) { return side.print(""); });
+    const auto all = runOnLoop([](grpc::Side& side) { return side.print(""); });
     const auto at = ("\n" + all).find("\n" + name + " ");
     CHECK(at != std::string::npos);
     return std::stoull(all.substr(at + name.size() + 1));
@@ -228,8 +245,8 @@
     net::Loop loop;
     loop_ = &loop;
     broker::Log log(
-        [](auto event, auto words) {
-          std::fprintf(stderr, "%s %s\n", std::string(event).c_str(), std::string(words).c_str());
+        [](auto event, auto message) {
+          std::fprintf(stderr, "%s %s\n", std::string(event).c_str(), std::string(message).c_str());
         },
         [&] { return loop.now(); });
     grpc::Side side(loop, log, *read(hcl).grpc);
@@ -260,14 +277,14 @@
   std::thread thread_;
 };
 
-// One call of any kind, as its client sees it.
+// One call of any type, as its client sees it.
 class Call : public ::grpc::ClientBidiReactor<::grpc::ByteBuffer, ::grpc::ByteBuffer> {
  public:
   ::grpc::ClientContext context;
   std::vector<std::string> received;
   ::grpc::Status status;
-  std::atomic<int> ends{0};
-  Nanos took = 0;
+  std::atomic<int> ends{0};  // how many times the call ended: must become 1
+  Nanos duration = 0;
 
   Call(const std::string& method, std::vector<std::string> messages, int deadlineMs = 10'000)
       : method_(method), messages_(std::move(messages)) {
@@ -277,8 +294,8 @@
     context.AddMetadata(key, value);
     return *this;
   }
-  // The request stays open after the messages.
-  Call& keptOpen() {
+  // Does not end the request after its messages.
+  Call& keepOpen() {
     open_ = true;
     return *this;
   }
@@ -309,7 +326,7 @@
     const std::lock_guard<std::mutex> lock(mutex_);
     return received.size();
   }
-  // Wait until so many messages are in.
+  // Waits until so many messages have been received, or the call has ended.
   void waitFor(std::size_t messages) {
     std::unique_lock<std::mutex> lock(mutex_);
     CHECK(done_.wait_for(lock, std::chrono::seconds(60),
@@ -319,7 +336,7 @@
  private:
   void writeNext() {
     if (next_ < messages_.size()) {
-      out_ = bytes(messages_[next_++]);
+      out_ = toByteBuffer(messages_[next_++]);
       return StartWrite(&out_);
     }
     if (!open_) StartWritesDone();
@@ -331,7 +348,7 @@
     if (!ok) return;
     {
       const std::lock_guard<std::mutex> lock(mutex_);
-      received.push_back(text(in_));
+      received.push_back(toText(in_));
     }
     done_.notify_all();
     StartRead(&in_);
@@ -339,8 +356,8 @@
   void OnDone(const ::grpc::Status& s) override {
     const std::lock_guard<std::mutex> lock(mutex_);
     status = s;
-    took = std::chrono::duration_cast<std::chrono::nanoseconds>(std::chrono::steady_clock::now() - begin_)
-               .count();
+    duration = std::chrono::duration_cast<std::chrono::nanoseconds>(std::chrono::steady_clock::now() - begin_)
+                   .count();
     ++ends;
     done_.notify_all();
   }
@@ -354,7 +371,7 @@
   std::condition_variable done_;
 };
 
-// A channel of its own connection.
+// A client with a connection of its own, without retries.
 struct Client {
   std::unique_ptr<::grpc::GenericStub> stub;
   explicit Client(const std::string& address) {
@@ -367,7 +384,8 @@
   }
 };
 
-inline bool soon(const std::function<bool()>& holds) {
+// Waits up to 5 s for a condition; whether it held.
+inline bool eventually(const std::function<bool()>& holds) {
   for (int i = 0; i < 1000; ++i) {
     if (holds()) return true;
     std::this_thread::sleep_for(std::chrono::milliseconds(5));
--- a/tests/h2_peer.hpp
+++ b/tests/h2_peer.hpp
@@ -1,5 +1,5 @@
-// Scripted HTTP/2 peers on plain sockets: what they say is written frame by frame, so that they can be wrong
-// in any way. nghttp2 only packs and unpacks their fields.
+// Scripted HTTP/2 clients and servers on plain sockets. They write each frame themselves, so that they can
+// violate the protocol in any way; nghttp2 only encodes and decodes their header fields.
 #pragma once
 
 #include <arpa/inet.h>
@@ -29,42 +29,64 @@
 using calls::Fields;
 
 struct Frame {
-  int type = 0, flags = 0, stream = 0;
+  int type = 0;
+  int flags = 0;
+  int stream = 0;
   std::string payload;
 };
-inline constexpr int kData = 0, kHeaders = 1, kReset = 3, kSettings = 4, kPing = 6, kGoaway = 7, kWindow = 8,
-                     kContinuation = 9;
-inline constexpr int kEndStream = 1, kAck = 1, kEndHeaders = 4;
+// Frame types and flags (RFC 9113 section 6).
+inline constexpr int kDataFrame = 0;
+inline constexpr int kHeadersFrame = 1;
+inline constexpr int kResetFrame = 3;
+inline constexpr int kSettingsFrame = 4;
+inline constexpr int kPingFrame = 6;
+inline constexpr int kGoawayFrame = 7;
+inline constexpr int kWindowUpdateFrame = 8;
+inline constexpr int kContinuationFrame = 9;
+inline constexpr int kEndStreamFlag = 1;
+inline constexpr int kAckFlag = 1;
+inline constexpr int kEndHeadersFlag = 4;
+inline constexpr std::size_t kFrameHeaderBytes = 9;
+inline constexpr std::size_t kClientPrefaceBytes = 24;
 
-inline std::string number(std::uint32_t value) {
+// Error codes (RFC 9113 section 7).
+inline constexpr std::uint32_t kInternalError = 2;
+inline constexpr std::uint32_t kRefusedStream = 7;
+inline constexpr std::uint32_t kCancel = 8;
+inline constexpr std::uint32_t kEnhanceYourCalm = 11;
+
+// Four bytes in network order.
+inline std::string bigEndian(std::uint32_t value) {
   return {static_cast<char>(value >> 24), static_cast<char>(value >> 16), static_cast<char>(value >> 8),
           static_cast<char>(value)};
 }
-inline std::string frame(int type, int flags, int stream, const std::string& payload = {}) {
-  return number(static_cast<std::uint32_t>(payload.size()) << 8 | static_cast<std::uint32_t>(type)) +
-         static_cast<char>(flags) + number(static_cast<std::uint32_t>(stream)) + payload;
+inline std::string encodeFrame(int type, int flags, int stream, const std::string& payload = {}) {
+  return bigEndian(static_cast<std::uint32_t>(payload.size()) << 8 | static_cast<std::uint32_t>(type)) +
+         static_cast<char>(flags) + bigEndian(static_cast<std::uint32_t>(stream)) + payload;
 }
-inline std::string message(const std::string& body) {
-  return '\0' + number(static_cast<std::uint32_t>(body.size())) + body;
+// A gRPC message, uncompressed, with its length prefix.
+inline std::string grpcMessage(const std::string& body) {
+  return '\0' + bigEndian(static_cast<std::uint32_t>(body.size())) + body;
 }
 
-// One connection of a scripted peer, used from one thread.
-class Wire {
+// One HTTP/2 connection of a scripted peer, used by one thread.
+class RawConnection {
  public:
-  explicit Wire(int fd) : fd_(fd) {
+  explicit RawConnection(int fd) : fd_(fd) {
     const int one = 1;
     ::setsockopt(fd_, IPPROTO_TCP, TCP_NODELAY, &one, sizeof one);
     nghttp2_hd_deflate_new(&deflater_, 4096);
     nghttp2_hd_inflate_new(&inflater_);
   }
-  ~Wire() {
+  ~RawConnection() {
     close();
     nghttp2_hd_deflate_del(deflater_);
     nghttp2_hd_inflate_del(inflater_);
   }
-  Wire(const Wire&) = delete;
-  Wire& operator=(const Wire&) = delete;
-  static int dial(const std::string& address) {
+  RawConnection(const RawConnection&) = delete;
+  RawConnection& operator=(const RawConnection&) = delete;
+  // The socket of a new connection to "address:port".
+  static int connectTo(const std::string& address) {
     sockaddr_in to{};
     const auto colon = address.rfind(':');
     to.sin_family = AF_INET;
@@ -74,7 +96,7 @@
     CHECK(fd >= 0 && ::connect(fd, reinterpret_cast<sockaddr*>(&to), sizeof to) == 0);
     return fd;
   }
-  // False: the peer has ended it.
+  // False: the peer has closed the connection, or has read nothing for 5 s.
   bool send(const std::string& bytes) {
     for (std::size_t at = 0; at < bytes.size();) {
       pollfd p{fd_, POLLOUT, 0};
@@ -85,7 +107,7 @@
     }
     return true;
   }
-  std::string pack(const Fields& fields) {
+  std::string encodeHeaders(const Fields& fields) {
     std::vector<nghttp2_nv> nv;
     for (const auto& f : fields)
       nv.push_back({reinterpret_cast<std::uint8_t*>(const_cast<char*>(f.name.data())),
@@ -98,16 +120,18 @@
     out.resize(static_cast<std::size_t>(size));
     return out;
   }
-  Fields unpack(const std::string& block) {
+  // The fields of a complete header block.
+  Fields decodeHeaders(const std::string& block) {
     Fields out;
     const auto* at = reinterpret_cast<const std::uint8_t*>(block.data());
     std::size_t left = block.size();
     while (true) {
       nghttp2_nv nv;
       int flags = 0;
-      const auto took = nghttp2_hd_inflate_hd2(inflater_, &nv, &flags, at, left, 1);
-      CHECK(took >= 0);
-      at += took, left -= static_cast<std::size_t>(took);
+      const auto used = nghttp2_hd_inflate_hd2(inflater_, &nv, &flags, at, left, 1);
+      CHECK(used >= 0);
+      at += used;
+      left -= static_cast<std::size_t>(used);
       if (flags & NGHTTP2_HD_INFLATE_EMIT)
         out.push_back({std::string(reinterpret_cast<char*>(nv.name), nv.namelen),
                        std::string(reinterpret_cast<char*>(nv.value), nv.valuelen)});
@@ -117,21 +141,22 @@
     nghttp2_hd_inflate_end_headers(inflater_);
     return out;
   }
-  std::string headers(int stream, const Fields& fields, bool end) {
-    return frame(kHeaders, kEndHeaders | (end ? kEndStream : 0), stream, pack(fields));
+  std::string headersFrame(int stream, const Fields& fields, bool end) {
+    return encodeFrame(kHeadersFrame, kEndHeadersFlag | (end ? kEndStreamFlag : 0), stream,
+                       encodeHeaders(fields));
   }
-  // The next frame; none: nothing came in time, or the connection is over (then ended() says so).
-  std::optional<Frame> read(int ms) {
+  // The next frame. No value: none was received in time, or the connection has ended (see ended()).
+  std::optional<Frame> readFrame(int ms) {
     const auto until = std::chrono::steady_clock::now() + std::chrono::milliseconds(ms);
     while (true) {
-      if (in_.size() >= 9) {
+      if (in_.size() >= kFrameHeaderBytes) {
         const auto byte = [&](std::size_t i) { return static_cast<unsigned char>(in_[i]); };
         const std::size_t size =
             static_cast<std::size_t>(byte(0)) << 16 | static_cast<std::size_t>(byte(1)) << 8 | byte(2);
-        if (in_.size() >= 9 + size) {
+        if (in_.size() >= kFrameHeaderBytes + size) {
           Frame f{byte(3), byte(4), (byte(5) & 0x7f) << 24 | byte(6) << 16 | byte(7) << 8 | byte(8),
-                  in_.substr(9, size)};
-          in_.erase(0, 9 + size);
+                  in_.substr(kFrameHeaderBytes, size)};
+          in_.erase(0, kFrameHeaderBytes + size);
           return f;
         }
       }
@@ -148,66 +173,74 @@
         return std::nullopt;
       }
       in_.append(buffer, static_cast<std::size_t>(got));
-      if (!prefaced_ && server) prefaced_ = true, in_.erase(0, std::min<std::size_t>(24, in_.size()));
+      if (!prefaceSkipped_ && isServer) {
+        prefaceSkipped_ = true;
+        in_.erase(0, std::min(kClientPrefaceBytes, in_.size()));
+      }
     }
   }
-  // The first frame of a type, others passed over; for a client also the answers that the protocol asks for.
-  std::optional<Frame> await(int type, int ms) {
+  // The next frame of a type, except acknowledgements of SETTINGS; other frames are dropped.
+  std::optional<Frame> awaitFrame(int type, int ms) {
     const auto until = std::chrono::steady_clock::now() + std::chrono::milliseconds(ms);
     while (std::chrono::steady_clock::now() < until) {
-      const auto f = read(50);
+      const auto f = readFrame(50);
       if (!f && ended_) return std::nullopt;
-      if (f && f->type == type && !(type == kSettings && f->flags == kAck)) return f;
+      if (f && f->type == type && !(type == kSettingsFrame && f->flags == kAckFlag)) return f;
     }
     return std::nullopt;
   }
   bool ended() const { return ended_; }
+  // Closes the connection in order.
   void close() {
     if (fd_ >= 0) ::close(fd_);
     fd_ = -1;
   }
-  void abort() {  // a reset instead of an orderly end
+  // Closes the connection with a TCP reset.
+  void abort() {
     const linger now{1, 0};
     ::setsockopt(fd_, SOL_SOCKET, SO_LINGER, &now, sizeof now);
     close();
   }
-  bool server = false;
+  bool isServer = false;  // input starts with the client's connection preface
 
  private:
   int fd_;
   std::string in_;
-  bool prefaced_ = false, ended_ = false;
+  bool prefaceSkipped_ = false;
+  bool ended_ = false;
   nghttp2_hd_deflater* deflater_ = nullptr;
   nghttp2_hd_inflater* inflater_ = nullptr;
 };
 
-// How a scripted backend treats a call.
+// How a scripted backend responds to a call.
 enum class Fault {
-  none,          // OK, with its message back
-  trailersOnly,  // UNAVAILABLE at once
-  pushback,      // the same, with "come back in 200 ms"
-  noRetry,       // the same, with "do not try again"
-  cutBeforeTrailers,
-  cutMidMessage,
-  cutMidTrailers,
-  noStatus,
-  trailersOpen,  // trailers without END_STREAM
-  refused,       // RST_STREAM(REFUSED_STREAM)
-  resetInternal,
-  resetAfterHead,
-  dropAfterHead,
-  goaway,  // GOAWAY that leaves this call out, once it has served some
-  silent,
-  silentAfterHead,
-  http503,
-  notGrpc,
-  closeAtOnce
+  none,                // OK, with the request's message in the response
+  trailersOnly,        // UNAVAILABLE in a Trailers-Only response
+  pushback,            // the same, with grpc-retry-pushback-ms: 200
+  noRetry,             // the same, with grpc-retry-pushback-ms: -1
+  cutBeforeTrailers,   // closes the connection
+  cutMidMessage,       // resets the connection
+  cutMidTrailers,      // closes the connection
+  noStatus,            // ends the stream without trailers
+  trailersWithoutEnd,  // trailers without END_STREAM
+  refused,             // RST_STREAM(REFUSED_STREAM)
+  resetInternal,       // RST_STREAM(INTERNAL_ERROR)
+  resetAfterHead,      // the same after the response's header fields
+  dropAfterHead,       // resets the connection after the response's header fields
+  goaway,        // GOAWAY whose last stream id is below this call's, after the first call on the connection
+  unresponsive,  // no response
+  unresponsiveAfterHead,  // nothing after the response's header fields
+  http503,                // HTTP status 503
+  notGrpc,                // an HTML page
+  closeAtOnce             // resets the connection
 };
-inline constexpr int kFaults = 19;
+inline constexpr int kFaultCount = 19;
 
+// An HTTP/2 server whose response to each call is chosen by the test. Each connection has a thread.
 class ScriptedBackend {
  public:
-  using Choose = std::function<Fault(int call)>;  // by the count of the calls so far, from 0
+  // The response to a call; `call`: how many came before it. Called by the threads of all connections.
+  using Choose = std::function<Fault(int call)>;
   explicit ScriptedBackend(Choose choose) : choose_(std::move(choose)) {
     listener_ = ::socket(AF_INET, SOCK_STREAM, 0);
     sockaddr_in at{};
@@ -226,16 +259,17 @@
     ::close(listener_);
   }
   std::string address;
-  std::atomic<int> calls{0}, resets{0};
-  // When calls came, for the rule on drains.
+  std::atomic<int> calls{0};
+  std::atomic<int> resets{0};  // RST_STREAM frames received
+  // When each call was received.
   std::vector<std::chrono::steady_clock::time_point> arrivals() {
     const std::lock_guard<std::mutex> lock(mutex_);
     return arrivals_;
   }
-  // How often each call was begun here, by its id in the metadata.
-  std::map<std::string, int> begun() {
+  // How many times each call was received, by its metadata x-id.
+  std::map<std::string, int> starts() {
     const std::lock_guard<std::mutex> lock(mutex_);
-    return begun_;
+    return starts_;
   }
 
  private:
@@ -248,105 +282,123 @@
     }
   }
   void serve(int fd) {
-    Wire wire(fd);
-    wire.server = true;
-    wire.send(frame(kSettings, 0, 0));
+    RawConnection connection(fd);
+    connection.isServer = true;
+    connection.send(encodeFrame(kSettingsFrame, 0, 0));
     std::map<int, Fault> open;
     std::map<int, std::string> bodies;
     int served = 0;
     while (!stop_) {
-      const auto f = wire.read(20);
+      const auto f = connection.readFrame(20);
       if (!f) {
-        if (wire.ended()) return;
+        if (connection.ended()) return;
         continue;
       }
-      if (f->type == kSettings && f->flags != kAck) wire.send(frame(kSettings, kAck, 0));
-      if (f->type == kPing && f->flags != kAck) wire.send(frame(kPing, kAck, 0, f->payload));
-      if (f->type == kReset) ++resets;
-      if (f->type == kHeaders) {
-        const auto head = wire.unpack(f->payload);
+      if (f->type == kSettingsFrame && f->flags != kAckFlag)
+        connection.send(encodeFrame(kSettingsFrame, kAckFlag, 0));
+      if (f->type == kPingFrame && f->flags != kAckFlag)
+        connection.send(encodeFrame(kPingFrame, kAckFlag, 0, f->payload));
+      if (f->type == kResetFrame) ++resets;
+      if (f->type == kHeadersFrame) {
+        const auto head = connection.decodeHeaders(f->payload);
         const Fault fault = choose_(calls++);
         {
           const std::lock_guard<std::mutex> lock(mutex_);
           arrivals_.push_back(std::chrono::steady_clock::now());
-          ++begun_[std::string(calls::find(head, "x-id").value_or(""))];
+          ++starts_[std::string(calls::find(head, "x-id").value_or(""))];
         }
         open[f->stream] = fault;
       }
-      if (f->type == kData) {
+      if (f->type == kDataFrame) {
         bodies[f->stream] += f->payload;
         if (!f->payload.empty())
-          wire.send(frame(kWindow, 0, 0, number(static_cast<std::uint32_t>(f->payload.size()))) +
-                    frame(kWindow, 0, f->stream, number(static_cast<std::uint32_t>(f->payload.size()))));
+          connection.send(encodeFrame(kWindowUpdateFrame, 0, 0,
+                                      bigEndian(static_cast<std::uint32_t>(f->payload.size()))) +
+                          encodeFrame(kWindowUpdateFrame, 0, f->stream,
+                                      bigEndian(static_cast<std::uint32_t>(f->payload.size()))));
       }
-      if ((f->type == kHeaders || f->type == kData) && (f->flags & kEndStream)) {
+      if ((f->type == kHeadersFrame || f->type == kDataFrame) && (f->flags & kEndStreamFlag)) {
         ++served;
-        if (!act(wire, f->stream, open[f->stream], bodies[f->stream], served)) return;
+        if (!respond(connection, f->stream, open[f->stream], bodies[f->stream], served)) return;
       }
     }
   }
-  // False: the connection is over.
-  bool act(Wire& w, int stream, Fault fault, const std::string& body, int served) {
+  // Responds to a complete request. False: the connection is closed.
+  bool respond(RawConnection& connection, int stream, Fault fault, const std::string& body, int served) {
     const Fields head = {{":status", "200"}, {"content-type", "application/grpc"}};
-    const Fields good = {{"grpc-status", "0"}, {"x-server", address}};
-    const auto only = [&](const Fields& more) {
+    const Fields okTrailers = {{"grpc-status", "0"}, {"x-server", address}};
+    const auto trailersOnly = [&](const Fields& more) {
       Fields all = head;
       all.insert(all.end(), more.begin(), more.end());
-      return w.send(w.headers(stream, all, true));
+      return connection.send(connection.headersFrame(stream, all, true));
     };
-    const auto begin = [&] { return w.send(w.headers(stream, head, false)); };
-    const auto back = message(body.size() > 5 ? body.substr(5) : "");
+    const auto sendHead = [&] { return connection.send(connection.headersFrame(stream, head, false)); };
+    const auto reply = grpcMessage(body.size() > 5 ? body.substr(5) : "");
     switch (fault) {
       case Fault::none:
-        return begin() && w.send(frame(kData, 0, stream, back)) && w.send(w.headers(stream, good, true));
+        return sendHead() && connection.send(encodeFrame(kDataFrame, 0, stream, reply)) &&
+               connection.send(connection.headersFrame(stream, okTrailers, true));
       case Fault::trailersOnly:
-        return only({{"grpc-status", "14"}, {"grpc-message", "busy"}});
+        return trailersOnly({{"grpc-status", "14"}, {"grpc-message", "busy"}});
       case Fault::pushback:
-        return only({{"grpc-status", "14"}, {"grpc-retry-pushback-ms", "200"}});
+        return trailersOnly({{"grpc-status", "14"}, {"grpc-retry-pushback-ms", "200"}});
       case Fault::noRetry:
-        return only({{"grpc-status", "14"}, {"grpc-message", "never"}, {"grpc-retry-pushback-ms", "-1"}});
+        return trailersOnly(
+            {{"grpc-status", "14"}, {"grpc-message", "never"}, {"grpc-retry-pushback-ms", "-1"}});
       case Fault::cutBeforeTrailers:
-        begin(), w.send(frame(kData, 0, stream, back)), w.close();
+        sendHead();
+        connection.send(encodeFrame(kDataFrame, 0, stream, reply));
+        connection.close();
         return false;
       case Fault::cutMidMessage:
-        begin(), w.send(frame(kData, 0, stream, back.substr(0, back.size() / 2))), w.abort();
+        sendHead();
+        connection.send(encodeFrame(kDataFrame, 0, stream, reply.substr(0, reply.size() / 2)));
+        connection.abort();
         return false;
       case Fault::cutMidTrailers: {
-        const auto trailers = w.headers(stream, good, true);
-        begin(), w.send(frame(kData, 0, stream, back)), w.send(trailers.substr(0, trailers.size() / 2)),
-            w.close();
+        const auto trailers = connection.headersFrame(stream, okTrailers, true);
+        sendHead();
+        connection.send(encodeFrame(kDataFrame, 0, stream, reply));
+        connection.send(trailers.substr(0, trailers.size() / 2));
+        connection.close();
         return false;
       }
       case Fault::noStatus:
-        return begin() && w.send(frame(kData, kEndStream, stream, back));
-      case Fault::trailersOpen:
-        return begin() && w.send(frame(kData, 0, stream, back)) && w.send(w.headers(stream, good, false));
+        return sendHead() && connection.send(encodeFrame(kDataFrame, kEndStreamFlag, stream, reply));
+      case Fault::trailersWithoutEnd:
+        return sendHead() && connection.send(encodeFrame(kDataFrame, 0, stream, reply)) &&
+               connection.send(connection.headersFrame(stream, okTrailers, false));
       case Fault::refused:
-        return w.send(frame(kReset, 0, stream, number(7)));
+        return connection.send(encodeFrame(kResetFrame, 0, stream, bigEndian(kRefusedStream)));
       case Fault::resetInternal:
-        return w.send(frame(kReset, 0, stream, number(2)));
+        return connection.send(encodeFrame(kResetFrame, 0, stream, bigEndian(kInternalError)));
       case Fault::resetAfterHead:
-        return begin() && w.send(frame(kReset, 0, stream, number(2)));
+        return sendHead() && connection.send(encodeFrame(kResetFrame, 0, stream, bigEndian(kInternalError)));
       case Fault::dropAfterHead:
-        begin(), w.abort();
+        sendHead();
+        connection.abort();
         return false;
       case Fault::goaway:
         if (served == 1)
-          return begin() && w.send(frame(kData, 0, stream, back)) && w.send(w.headers(stream, good, true));
-        // Once: what comes after it is above its last id, too.
+          return sendHead() && connection.send(encodeFrame(kDataFrame, 0, stream, reply)) &&
+                 connection.send(connection.headersFrame(stream, okTrailers, true));
+        // Sent once: later calls on this connection are above its last stream id, too.
         return served > 2 ||
-               w.send(frame(kGoaway, 0, 0, number(static_cast<std::uint32_t>(stream - 2)) + number(0)));
-      case Fault::silent:
+               connection.send(encodeFrame(kGoawayFrame, 0, 0,
+                                           bigEndian(static_cast<std::uint32_t>(stream - 2)) + bigEndian(0)));
+      case Fault::unresponsive:
         return true;
-      case Fault::silentAfterHead:
-        return begin();
+      case Fault::unresponsiveAfterHead:
+        return sendHead();
       case Fault::http503:
-        return w.send(w.headers(stream, {{":status", "503"}, {"content-type", "text/plain"}}, true));
+        return connection.send(
+            connection.headersFrame(stream, {{":status", "503"}, {"content-type", "text/plain"}}, true));
       case Fault::notGrpc:
-        return w.send(w.headers(stream, {{":status", "200"}, {"content-type", "text/html"}}, false)) &&
-               w.send(frame(kData, kEndStream, stream, "<html>"));
+        return connection.send(connection.headersFrame(
+                   stream, {{":status", "200"}, {"content-type", "text/html"}}, false)) &&
+               connection.send(encodeFrame(kDataFrame, kEndStreamFlag, stream, "<html>"));
       case Fault::closeAtOnce:
-        w.abort();
+        connection.abort();
         return false;
     }
     return false;
@@ -357,16 +409,16 @@
   std::atomic<bool> stop_{false};
   std::mutex mutex_;
   std::vector<std::chrono::steady_clock::time_point> arrivals_;
-  std::map<std::string, int> begun_;
+  std::map<std::string, int> starts_;
   std::thread acceptor_;
   std::vector<std::thread> threads_;
 };
 
-// A client that says what it likes.
+// A client that sends any bytes; it has sent the connection preface and SETTINGS.
 struct RawClient {
-  Wire wire;
-  explicit RawClient(const std::string& address) : wire(Wire::dial(address)) {
-    wire.send("PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n" + frame(kSettings, 0, 0));
+  RawConnection connection;
+  explicit RawClient(const std::string& address) : connection(RawConnection::connectTo(address)) {
+    connection.send("PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n" + encodeFrame(kSettingsFrame, 0, 0));
   }
   static Fields head(const std::string& path = "/t.T/Echo") {
     return {{":method", "POST"},
