--- a/src/grpc/exchange.hpp
+++ b/src/grpc/exchange.hpp
@@ -50,9 +50,9 @@
   const config::GrpcRoute* route = nullptr;  // owned by `plan`; null: a health check
   std::shared_ptr<const void> plan;          // the configuration that was in use when the call was accepted
   broker::RequestNo requestNo = 0;           // the core's number for the call
-  Nanos deadline = 0;
-  Nanos acceptedAt = 0;
-  calls::Fields head;  // of the request
+  Nanos deadline = 0;                        // time of the loop
+  Nanos acceptedAt = 0;                      // time of the loop
+  calls::Fields head;                        // of the request
 
   calls::Call call;
   calls::Body response;
--- a/src/http2/session.cpp
+++ b/src/http2/session.cpp
@@ -16,7 +16,8 @@
 constexpr Nanos kTerminateTimeoutNs = 1'000'000'000;
 // Added to the size of each field (RFC 9113 section 6.5.2).
 constexpr std::size_t kFieldOverheadBytes = 32;
-// A header list of this many times the limit ends the connection; a smaller excess refuses only the request.
+// A header list of more than this many times the limit ends the connection; a smaller excess refuses only the
+// request.
 constexpr std::size_t kHeadBombFactor = 8;
 // CONTINUATION frames after one HEADERS frame.
 constexpr std::size_t kMaxContinuations = 8;
--- a/src/http2/session.hpp
+++ b/src/http2/session.hpp
@@ -103,7 +103,8 @@
   void shutdown();
   // Sends GOAWAY(ENHANCE_YOUR_CALM) and ends the connection. `what`: the reason, for Handler::onFlood.
   void terminateForAbuse(std::string_view what);
-  // Closes the connection at once, without onGone.
+  // Closes the connection at once, without onGone. A connection that has already ended still writes its last
+  // frames.
   void close();
 
   bool up() const { return connection_->up(); }
--- a/tests/grpc_world.hpp
+++ b/tests/grpc_world.hpp
@@ -214,7 +214,7 @@
     post([this] { loop_->stop(); });
     thread_.join();
   }
-  std::string address;
+  std::string address;  // of the service, "address:port"
 
   // Runs `work` on the loop's thread and returns its result.
   template <class Work>
@@ -224,6 +224,7 @@
     post([&] { promise.set_value(work(*side_)); });
     return future.get();
   }
+  // Applies an operator file.
   void reload(const std::string& hcl) {
     runOnLoop([&](grpc::Side& side) {
       side.reload(*read(hcl).grpc);
@@ -233,6 +234,7 @@
   static config::Operator read(const std::string& hcl) {
     return config::readOperator(hcl, "test.hcl", config::standalone(7));
   }
+  // The current value of a counter, by its printed name.
   std::uint64_t counter(const std::string& name) {
     const auto all = runOnLoop([](grpc::Side& side) { return side.print(""); });
     const auto at = ("\n" + all).find("\n" + name + " ");
--- a/tests/h2_peer.hpp
+++ b/tests/h2_peer.hpp
@@ -60,6 +60,7 @@
   return {static_cast<char>(value >> 24), static_cast<char>(value >> 16), static_cast<char>(value >> 8),
           static_cast<char>(value)};
 }
+// A frame with its header (RFC 9113 section 4.1).
 inline std::string encodeFrame(int type, int flags, int stream, const std::string& payload = {}) {
   return bigEndian(static_cast<std::uint32_t>(payload.size()) << 8 | static_cast<std::uint32_t>(type)) +
          static_cast<char>(flags) + bigEndian(static_cast<std::uint32_t>(stream)) + payload;
@@ -190,7 +191,6 @@
     return std::nullopt;
   }
   bool ended() const { return ended_; }
-  // Closes the connection in order.
   void close() {
     if (fd_ >= 0) ::close(fd_);
     fd_ = -1;
@@ -234,6 +234,7 @@
   notGrpc,                // an HTML page
   closeAtOnce             // resets the connection
 };
+// Values of Fault.
 inline constexpr int kFaultCount = 19;
 
 // An HTTP/2 server whose response to each call is chosen by the test. Each connection has a thread.
