--- a/src/sim/simhost.cpp
+++ b/src/sim/simhost.cpp
@@ -1,4 +1,5 @@
-// The adapter program: the wire on standard input and output, complaints on standard error.
+// The simulator's adapter: runs the text protocol of wire.hpp on standard input and output. A malformed line
+// is reported on standard error and ends the program with status 1.
 #include <exception>
 #include <iostream>
 
