--- a/tests/large_test.cpp
+++ b/tests/large_test.cpp
@@ -1,5 +1,5 @@
-// What the grown deployments brought: many aggregators that each see little, queries that kill, storms of
-// quick failures, and clients whose earlier tries have used up the aim.
+// Behaviour that large deployments need: many aggregators that each see few queries, queries that crash
+// servers, retry storms after quick failures, and client retries whose earlier attempts used up the aim.
 #include <random>
 #include <set>
 
@@ -8,62 +8,66 @@
 namespace topazweir::test {
 namespace {
 
-// Shards on one cell, so that every server holds all of them.
-Settings shared(int shards) {
+// One cell, so that every server holds all shards; without hedging, so that counts are exact.
+Settings sharedCell(int shards) {
   auto s = basic();
   s.shards = shards;
-  s.secondCopies = false;  // no twins in the count
+  s.secondCopies = false;
   return s;
 }
 
-std::vector<Action> arrive(Script& t, const std::string& id, int parts, bool repeat, Nanos left = 2 * sec) {
-  ++t.number;
-  std::vector<Event> events{QueryArrived{id, t.number, 0, left, parts, repeat}};
+// Like Script::query, with the id and the retry mark as arguments; returns the actions.
+std::vector<Action> startQuery(Script& t, const std::string& id, int parts, bool repeat,
+                               Nanos left = 2 * sec) {
+  ++t.lastQueryNumber;
+  std::vector<Event> events{QueryArrived{id, t.lastQueryNumber, 0, left, parts, repeat}};
   for (int i = 0; i < parts; ++i)
-    events.push_back(PartArrived{id + "." + std::to_string(i), t.number, i % t.set.shards, 1.0 / parts});
+    events.push_back(
+        PartArrived{id + "." + std::to_string(i), t.lastQueryNumber, i % t.settings.shards, 1.0 / parts});
   return t.turn(events);
 }
 
-std::vector<std::string> partsOut(const Script& t, const std::string& id) {
+// The parts of the query that have been sent at least once.
+std::vector<std::string> sentParts(const Script& t, const std::string& id) {
   std::vector<std::string> parts;
   for (const auto& [part, servers] : t.attempts)
     if (part.rfind(id + ".", 0) == 0) parts.push_back(part);
   return parts;
 }
 
-std::string named(std::string prefix, int number) { return prefix.append(std::to_string(number)); }
+std::string numbered(std::string prefix, int number) { return prefix.append(std::to_string(number)); }
 
 bool logged(const Script& t, const std::string& what) {
   return std::any_of(t.logs.begin(), t.logs.end(),
                      [&](const std::string& line) { return line.find(what) != std::string::npos; });
 }
 
-// ---- queries that kill ----
+// ---- queries that crash servers ----
 
 TEST(Killing, QueryWhosePartsAllBreakIsEndedWithoutFurtherAttempts) {
-  Script t(shared(3));
+  Script t(sharedCell(3));
   t.servers(8);
-  arrive(t, "k", 3, false);
+  startQuery(t, "k", 3, false);
   ASSERT_EQ(t.sends.size(), 3U);
   t.now += 20 * ms;
-  std::vector<Event> deaths;
+  std::vector<Event> resets;
   for (const auto& send : t.sends)
-    deaths.push_back(AttemptEnded{send.part, 0, send.server, Outcome::reset, 20 * ms});
-  t.turn(deaths);
+    resets.push_back(AttemptEnded{send.part, 0, send.server, Outcome::reset, 20 * ms});
+  t.turn(resets);
   EXPECT_EQ(t.sends.size(), 3U);
   ASSERT_EQ(t.refusals.size(), 1U);
-  EXPECT_EQ(t.refusals[0].retryAfter, t.set.maxRetryAfter);
+  EXPECT_EQ(t.refusals[0].retryAfter, t.settings.maxRetryAfter);
   EXPECT_TRUE(logged(t, "query blamed for 3 broken servers"));
 }
 
 TEST(Killing, InnocentQueryOnACrashedServerIsServedElsewhere) {
-  Script t(shared(3));
+  Script t(sharedCell(3));
   t.servers(8);
-  arrive(t, "v", 3, false);
+  startQuery(t, "v", 3, false);
   ASSERT_EQ(t.sends.size(), 3U);
   t.now += 20 * ms;
   t.end("v.1", 0, Outcome::reset);
-  EXPECT_EQ(t.attempts["v.1"].size(), 1U);  // not before a server has survived another part
+  EXPECT_EQ(t.attempts["v.1"].size(), 1U);  // no retry before another part of the query was answered
   t.now += 20 * ms;
   t.end("v.0", 0);
   EXPECT_EQ(t.attempts["v.1"].size(), 2U);
@@ -76,47 +80,48 @@
 }
 
 TEST(Killing, RepeatTriesOnePartWhileConnectionsBreak) {
-  Script t(shared(3));
+  Script t(sharedCell(3));
   t.servers(8);
-  arrive(t, "k", 3, false);
+  startQuery(t, "k", 3, false);
   t.now += 20 * ms;
-  for (int i = 0; i < 3; ++i) t.end(named("k.", i), 0, Outcome::reset);
+  for (int i = 0; i < 3; ++i) t.end(numbered("k.", i), 0, Outcome::reset);
   std::set<std::string> tried;
   for (int i = 0; i < 20; ++i) {
-    const auto id = named("r", i);
-    arrive(t, id, 3, true, 1990 * ms);
-    const auto out = partsOut(t, id);
-    ASSERT_EQ(out.size(), 1U);
-    tried.insert(out[0].substr(id.size()));
+    const auto id = numbered("r", i);
+    startQuery(t, id, 3, true, 1990 * ms);
+    const auto sent = sentParts(t, id);
+    ASSERT_EQ(sent.size(), 1U);
+    tried.insert(sent[0].substr(id.size()));
     t.now += 40 * ms;
-    t.end(out[0], 0);
-    EXPECT_EQ(partsOut(t, id).size(), 3U);  // a server has survived it: the others follow
-    for (const auto& part : partsOut(t, id))
-      if (part != out[0]) t.end(part, 0);
+    t.end(sent[0], 0);
+    EXPECT_EQ(sentParts(t, id).size(), 3U);  // the first part was answered: the others follow
+    for (const auto& part : sentParts(t, id))
+      if (part != sent[0]) t.end(part, 0);
   }
-  EXPECT_GE(tried.size(), 2U);  // by chance: repeats must not take the replicas of one shard one by one
+  // The part is chosen at random: retries must not crash the replicas of one shard one after the other.
+  EXPECT_GE(tried.size(), 2U);
 }
 
 TEST(Killing, QuietTimesHoldNoRepeatBack) {
-  Script t(shared(3));
+  Script t(sharedCell(3));
   t.servers(20);
-  arrive(t, "r", 3, true);
+  startQuery(t, "r", 3, true);
   EXPECT_EQ(t.sends.size(), 3U);
 }
 
 TEST(Killing, WideQueryTriesOnePartWhereThereIsTime) {
-  Script t(shared(6));
+  Script t(sharedCell(6));
   t.servers(8);
   for (int i = 0; i < 40; ++i) t.round(40 * ms);
-  arrive(t, "w", 6, false);
-  ASSERT_EQ(partsOut(t, "w").size(), 1U);
-  t.now += 60 * ms;  // later than the usual delay: it proves nothing any more and the others go
+  startQuery(t, "w", 6, false);
+  ASSERT_EQ(sentParts(t, "w").size(), 1U);
+  t.now += 60 * ms;  // past the usual delay: the others no longer wait for the first part
   t.turn({TimerFired{0}});
   t.turn({TimerFired{0}});
-  EXPECT_EQ(partsOut(t, "w").size(), 6U);
+  EXPECT_EQ(sentParts(t, "w").size(), 6U);
 }
 
-// ---- storms of quick failures ----
+// ---- retry storms after quick failures ----
 
 TEST(Closed, FullServerGetsNothingUntilItsBenchEnds) {
   Script t(basic());
@@ -130,13 +135,13 @@
     t.now += 5 * ms;
     t.query();
   }
-  EXPECT_EQ(t.sends.size(), sends);  // a retry would find it full again and keep it so
+  EXPECT_EQ(t.sends.size(), sends);  // a retry would find it still at its limit and keep it there
   t.now += 2 * sec;
   t.query();
   EXPECT_GT(t.sends.size(), sends);
 }
 
-// ---- cold servers and many aggregators ----
+// ---- slow start with many aggregators ----
 
 TEST(Cold, SeventyAggregatorsTogetherStayUnderTheLimit) {
   auto s = basic();
@@ -162,58 +167,59 @@
       t.pass(250 * ms, 50 * ms);
     }
   }
-  // Nothing is known of the work: a part counts as a tenth of the aim.
-  const double work = 0.1;
+  // No delay has been measured, so a part counts as a tenth of the aim.
+  const double workPerPart = 0.1;  // seconds
   for (Nanos from = start; from < start + 9 * sec; from += 500 * ms) {
     const auto count =
         std::count_if(sends.begin(), sends.end(), [&](Nanos at) { return at >= from && at < from + sec; });
     const double share = 0.15 + 0.85 * static_cast<double>(from - start) / (16e9);
-    EXPECT_LE(static_cast<double>(count) * work, 2.5 * share) << (from - start) / ms;
+    EXPECT_LE(static_cast<double>(count) * workPerPart, 2.5 * share) << (from - start) / ms;
   }
-  EXPECT_GE(sends.size(), 20U);  // it is not starved either
+  EXPECT_GE(sends.size(), 20U);  // nor is it starved
 }
 
-// ---- the door ----
+// ---- admission control ----
 
-// Refused queries before the first one that is let in, where the answer is expected at nine tenths of the
-// aim.
-int refusedBeforeOneIsLetIn(bool comeAgain) {
+// The number of queries rejected before one is admitted (60: none was), where the expected delay is nine
+// tenths of the aim.
+int rejectedBeforeOneIsAdmitted(bool clientsRetry) {
   Script t(basic());
   t.servers(1);
   for (int i = 0; i < 10; ++i) t.round(900 * ms);
   for (int i = 0; i < 60; ++i) {
-    const auto id = named("q", 1000 + 3 * i);
-    arrive(t, id, 1, false);
+    const auto id = numbered("q", 1000 + 3 * i);
+    startQuery(t, id, 1, false);
     if (t.attempts.count(id + ".0") > 0) return i;
-    for (int k = 1; k <= 2 && comeAgain; ++k) arrive(t, named("q", 1000 + 3 * i + k), 1, true);
+    for (int k = 1; k <= 2 && clientsRetry; ++k) startQuery(t, numbered("q", 1000 + 3 * i + k), 1, true);
     t.now += 5 * ms;
   }
   return 60;
 }
 
-// A refusal is a respite where the client comes again (twice here), and a query lost where it does not.
+// Load shedding only defers a query whose client retries (twice here), but loses it if the client does not:
+// then more queries are admitted.
 TEST(Door, IsWiderWhereTheRefusedDoNotComeAgain) {
-  EXPECT_EQ(refusedBeforeOneIsLetIn(true), 60);
-  EXPECT_LT(refusedBeforeOneIsLetIn(false), 40);
-  EXPECT_GT(refusedBeforeOneIsLetIn(false), 3);  // not before there is something to go by
+  EXPECT_EQ(rejectedBeforeOneIsAdmitted(true), 60);
+  EXPECT_LT(rejectedBeforeOneIsAdmitted(false), 40);
+  EXPECT_GT(rejectedBeforeOneIsAdmitted(false), 3);  // not before there is evidence that clients do not retry
 }
 
-// ---- the client's clock ----
+// ---- the time a client has left ----
 
 TEST(Aim, CountsFromTheFirstTryReadOffARepeatsTimeLeft) {
   auto s = basic();
   s.classes[0].lateWorth = 0;
   Script t(s);
   t.servers(3);
-  t.round(40 * ms);                      // a first try has all of the 2 s
-  arrive(t, "gone", 1, true, 700 * ms);  // 1.3 s are gone, and the aim of 1 s with them
+  t.round(40 * ms);                          // a first attempt has the full 2 s
+  startQuery(t, "gone", 1, true, 700 * ms);  // 1.3 s have passed, and with them the aim of 1 s
   EXPECT_EQ(t.attempts.count("gone.0"), 0U);
   EXPECT_EQ(t.finals["gone"], 1);
-  arrive(t, "fresh", 1, true, 2 * sec);  // as much as a first try: nothing is known to be gone
+  startQuery(t, "fresh", 1, true, 2 * sec);  // the full 2 s: no time is known to have passed
   EXPECT_EQ(t.attempts.count("fresh.0"), 1U);
 }
 
-// ---- own stalls and bad input ----
+// ---- stalls of the aggregator, timers and random input ----
 
 TEST(Stall, GapWithAllEventsInOneTurnBlamesNobody) {
   Script t(basic());
@@ -234,27 +240,29 @@
 }
 
 TEST(Timer, DistantCallToTheListDoesNotLeaveAQueryWithoutOne) {
-  // The list had failed and was to be asked much later; no timer was set for the query that came meanwhile,
-  // and its time ran out unanswered.
+  // Guards against a query that times out unanswered: after failed requests for the server list the next
+  // request was far off, and no timer was set for a query that arrived in between.
   auto s = basic();
   s.listOnRequest = true;
   s.askWithin = 10 * sec;
   Script t(s);
   t.servers(2);
-  for (int i = 0; i < 6; ++i) {  // each failure doubles the wait
+  for (int i = 0; i < 6; ++i) {  // each failure doubles the back-off
     t.turn({ListNews{ListNews::Scope::failed, {}}});
     t.now += i < 5 ? 6 * sec : 0;
   }
-  ++t.number;
+  ++t.lastQueryNumber;
   Nanos wait = 10 * sec;
-  for (const auto& action :
-       t.turn({QueryArrived{"q", t.number, 0, 2 * sec, 1, false}, PartArrived{"q.0", t.number, 0, 1.0}}))
+  for (const auto& action : t.turn({QueryArrived{"q", t.lastQueryNumber, 0, 2 * sec, 1, false},
+                                    PartArrived{"q.0", t.lastQueryNumber, 0, 1.0}}))
     if (const auto* timer = std::get_if<SetTimer>(&action)) wait = timer->wait;
   EXPECT_LE(wait, 100 * ms);
 }
 
-// Thousands of turns of odd and hostile events; whatever comes, the rules hold on what comes out.
-void play(std::uint64_t seed, int aggregators) {
+// Handles 3,000 turns of random events, valid and invalid, and checks each action: sends go only to servers
+// that are up, stay within the attempt limit and the budget and repeat no non-idempotent part that may have
+// run; answers meet the class's share; each query ends exactly once and in time.
+void playRandomEvents(std::uint64_t seed, int aggregators) {
   auto s = basic();
   s.seed = seed;
   s.aggregators = aggregators;
@@ -272,63 +280,67 @@
   s.classes.push_back(s.classes[0]);
   s.classes[2].need = s.classes[2].floor = 0.5;
   Script t(s);
-  std::mt19937_64 random(seed);
-  const auto pick = [&](int n) { return static_cast<int>(random() % static_cast<std::uint64_t>(n)); };
+  std::mt19937_64 engine(seed);
+  const auto random = [&](int n) { return static_cast<int>(engine() % static_cast<std::uint64_t>(n)); };
   std::map<ServerId, ServerEntry> fleet;
-  struct Seen {
-    int cls = 0, parts = 0;
-    Nanos due = 0;
+  struct Query {
+    int cls = 0;
+    int parts = 0;
+    Nanos deadline = 0;  // 0: the client has gone
     std::set<std::string> delivered;
   };
-  std::map<std::string, Seen> seen;
-  struct Out {
+  std::map<std::string, Query> queries;
+  struct Attempt {
     std::string part;
     int attempt;
     ServerId server;
   };
-  std::vector<Out> outs;
-  std::set<std::string> mayHaveRun;
+  std::vector<Attempt> outstanding;
+  std::set<std::string> mayHaveRun;  // attempts, as "<part>/<attempt>"
   std::map<std::string, int> sentSoFar;
-  std::vector<Nanos> taken, extras;
+  std::vector<Nanos> earning;  // times of queries and parts, which earn budget
+  std::vector<Nanos> extras;   // times of further attempts, which use it
   for (int turn = 0; turn < 3000; ++turn) {
-    t.now += pick(100) == 0 ? 2 * sec : (5 + pick(60)) * ms;
+    t.now += random(100) == 0 ? 2 * sec : (5 + random(60)) * ms;
     std::vector<Event> events;
-    if (turn == 0 || pick(20) == 0) {  // servers die and return, drain and leave
+    if (turn == 0 || random(20) == 0) {  // servers crash and restart, drain and leave
       ServerEntry e;
-      e.server = static_cast<ServerId>(pick(8));
+      e.server = static_cast<ServerId>(random(8));
       e.cell = static_cast<int>(e.server % 4);
-      e.state = pick(4) == 0 ? (pick(2) ? ServerState::draining : ServerState::gone) : ServerState::up;
-      if (pick(2)) e.startedAt = t.now - pick(3000) * ms;
+      e.state = random(4) == 0 ? (random(2) ? ServerState::draining : ServerState::gone) : ServerState::up;
+      if (random(2)) e.startedAt = t.now - random(3000) * ms;
       fleet[e.server] = e;
       events.push_back(ListNews{ListNews::Scope::changes, {e}});
     }
-    for (auto at = outs.begin(); at != outs.end();) {
-      if (pick(4)) {
+    for (auto at = outstanding.begin(); at != outstanding.end();) {
+      if (random(4)) {
         ++at;
         continue;
       }
-      const auto outcome = pick(3) ? Outcome::delivered : static_cast<Outcome>(pick(8));
-      auto& query = seen[at->part.substr(0, at->part.find('.'))];
+      const auto outcome = random(3) ? Outcome::delivered : static_cast<Outcome>(random(8));
+      auto& query = queries[at->part.substr(0, at->part.find('.'))];
       const auto id = at->part.substr(0, at->part.find('.'));
       if (outcome == Outcome::delivered && t.finals[id] == 0) query.delivered.insert(at->part);
       const bool ran =
           outcome != Outcome::rejected && outcome != Outcome::connectFailed && outcome != Outcome::notSent;
       if (!ran) mayHaveRun.erase(at->part + "/" + std::to_string(at->attempt));
-      events.push_back(AttemptEnded{at->part, at->attempt, at->server, outcome, pick(400) * ms});
-      at = outs.erase(at);
+      events.push_back(AttemptEnded{at->part, at->attempt, at->server, outcome, random(400) * ms});
+      at = outstanding.erase(at);
     }
-    if (pick(3) == 0) {
-      const std::string id = named("q", turn);
-      Seen q{pick(3), 1 + pick(5), t.now + (100 + pick(1900)) * ms, {}};
-      events.push_back(QueryArrived{id, turn, q.cls, q.due - t.now, q.parts, pick(4) == 0});
-      taken.push_back(t.now);
-      for (int i = 0; i < q.parts; ++i, taken.push_back(t.now))
-        events.push_back(PartArrived{id + "." + std::to_string(i), turn, pick(9), 1.0 / q.parts});
-      seen[id] = q;
+    if (random(3) == 0) {
+      const std::string id = numbered("q", turn);
+      Query q{random(3), 1 + random(5), t.now + (100 + random(1900)) * ms, {}};
+      events.push_back(QueryArrived{id, turn, q.cls, q.deadline - t.now, q.parts, random(4) == 0});
+      earning.push_back(t.now);
+      for (int i = 0; i < q.parts; ++i) {
+        events.push_back(PartArrived{id + "." + std::to_string(i), turn, random(9), 1.0 / q.parts});
+        earning.push_back(t.now);
+      }
+      queries[id] = q;
     }
-    if (pick(50) == 0) events.push_back(QueryExpired{named("q", pick(turn + 1))});
+    if (random(50) == 0) events.push_back(QueryExpired{numbered("q", random(turn + 1))});
     if (!events.empty())
-      if (const auto* gone = std::get_if<QueryExpired>(&events.back())) seen[gone->query].due = 0;
+      if (const auto* gone = std::get_if<QueryExpired>(&events.back())) queries[gone->query].deadline = 0;
     for (const auto& action : t.turn(events)) {
       if (const auto* send = std::get_if<Send>(&action)) {
         ASSERT_EQ(fleet.at(send->server).state, ServerState::up);
@@ -337,39 +349,41 @@
         const auto id = send->part.substr(0, send->part.find('.'));
         if (attempt > 0) {
           extras.push_back(t.now);
-          for (int k = 0; k < attempt && seen[id].cls == 1; ++k) {
+          for (int k = 0; k < attempt && queries[id].cls == 1; ++k) {
             ASSERT_EQ(mayHaveRun.count(send->part + "/" + std::to_string(k)), 0U);
           }
-          const auto within = [&](const std::vector<Nanos>& v, bool edge) {
+          const auto within = [&](const std::vector<Nanos>& v, bool inclusive) {
             return std::count_if(v.begin(), v.end(), [&](Nanos at) {
-              return edge ? at >= t.now - 5 * sec : at > t.now - 5 * sec;
+              return inclusive ? at >= t.now - 5 * sec : at > t.now - 5 * sec;
             });
           };
           ASSERT_LE(static_cast<double>(within(extras, true)),
-                    5 + 0.2 * static_cast<double>(within(taken, false)));
+                    5 + 0.2 * static_cast<double>(within(earning, false)));
         }
         mayHaveRun.insert(send->part + "/" + std::to_string(attempt));
-        outs.push_back({send->part, attempt, send->server});
+        outstanding.push_back({send->part, attempt, send->server});
       } else if (const auto* answer = std::get_if<Answer>(&action)) {
-        const auto& q = seen[answer->query];
+        const auto& q = queries[answer->query];
         const double share = static_cast<double>(q.delivered.size()) / q.parts;
         ASSERT_GE(share, s.classes[static_cast<std::size_t>(q.cls)].floor - 1e-4);
-        const double least = answer->whole ? s.classes[static_cast<std::size_t>(q.cls)].need : 0;
-        ASSERT_GE(share, least - 1e-4);
+        const double minShare = answer->whole ? s.classes[static_cast<std::size_t>(q.cls)].need : 0;
+        ASSERT_GE(share, minShare - 1e-4);
       }
     }
-    for (const auto& [id, q] : seen) {
+    for (const auto& [id, q] : queries) {
       ASSERT_LE(t.finals[id], 1) << id;
-      const int least = q.due > 0 && t.now > q.due + 2 * sec ? 1 : 0;
-      ASSERT_GE(t.finals[id], least) << id;
+      const int minFinals = q.deadline > 0 && t.now > q.deadline + 2 * sec ? 1 : 0;
+      ASSERT_GE(t.finals[id], minFinals) << id;
     }
-    for (auto at = seen.begin(); at != seen.end();)
-      at = t.finals[at->first] > 0 && t.now > at->second.due + 10 * sec ? seen.erase(at) : std::next(at);
+    for (auto at = queries.begin(); at != queries.end();)
+      at = t.finals[at->first] > 0 && t.now > at->second.deadline + 10 * sec ? queries.erase(at)
+                                                                             : std::next(at);
   }
 }
 
 TEST(Robust, RandomEventsBreakNoRule) {
-  for (std::uint64_t seed = 1; seed <= 6; ++seed) play(seed, seed % 3 == 0 ? 10000 : static_cast<int>(seed));
+  for (std::uint64_t seed = 1; seed <= 6; ++seed)
+    playRandomEvents(seed, seed % 3 == 0 ? 10000 : static_cast<int>(seed));
 }
 
 }  // namespace
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -1,4 +1,6 @@
-// The mechanism and the six rules, through the public interface.
+// The decision module through its public interface: choice of replicas, hedged requests, and the rules that
+// hold for every query (one final answer, no effect twice, draining, slow start, honest answers, attempt
+// budget).
 #include <malloc.h>
 
 #include "script.hpp"
@@ -6,27 +8,30 @@
 namespace topazweir::test {
 namespace {
 
-Settings noCopies() {
+// Each send is then a first attempt or a retry.
+Settings withoutHedging() {
   auto s = basic();
   s.secondCopies = false;
   return s;
 }
 
-// ---- the mechanism ----
+// ---- choice of replicas and hedging ----
 
 TEST(Mechanism, LowestLastDelayWins) {
   for (const bool firstIsFast : {true, false}) {
-    Script t(noCopies());
+    Script t(withoutHedging());
     t.servers(2);
-    t.teach(firstIsFast ? std::vector<Nanos>{50 * ms, 400 * ms} : std::vector<Nanos>{400 * ms, 50 * ms});
+    t.measureDelays(firstIsFast ? std::vector<Nanos>{50 * ms, 400 * ms}
+                                : std::vector<Nanos>{400 * ms, 50 * ms});
     for (int i = 0; i < 3; ++i) EXPECT_EQ(t.round(50 * ms), firstIsFast ? 1U : 2U);
   }
 }
 
 TEST(Mechanism, PendingReplicaIsSetAside) {
-  Script t(noCopies());
+  Script t(withoutHedging());
   t.servers(2);
-  t.teach({40 * ms, 150 * ms});  // even with its own part as queue, 1 would look faster
+  // Server 1 has the shorter expected delay even with an outstanding part.
+  t.measureDelays({40 * ms, 150 * ms});
   const auto first = t.query() + ".0";
   const auto second = t.query() + ".0";
   EXPECT_EQ(t.attempts[first][0], 1U);
@@ -34,9 +39,9 @@
 }
 
 TEST(Mechanism, SetAsideGivesWayWhenTheOthersLookFarSlower) {
-  Script t(noCopies());
+  Script t(withoutHedging());
   t.servers(2);
-  t.teach({50 * ms, 900 * ms});
+  t.measureDelays({50 * ms, 900 * ms});
   const auto first = t.query() + ".0";
   const auto second = t.query() + ".0";
   EXPECT_EQ(t.attempts[first][0], 1U);
@@ -44,69 +49,68 @@
 }
 
 TEST(Mechanism, LowestGuessWinsWhenAllAreSetAside) {
-  Script t(noCopies());
+  Script t(withoutHedging());
   t.servers(3);
-  t.teach({100 * ms, 110 * ms, 120 * ms});
+  t.measureDelays({100 * ms, 110 * ms, 120 * ms});
   for (int i = 0; i < 3; ++i) t.query();
   const auto fourth = t.query() + ".0";
   EXPECT_EQ(t.attempts[fourth].size(), 1U);
 }
 
 TEST(Mechanism, GuessIsTheRoundsLargestWhenSomethingWasHeard) {
-  Script t(noCopies());
+  Script t(withoutHedging());
   t.servers(3);
-  t.teach({100 * ms, 120 * ms, 560 * ms});
+  t.measureDelays({100 * ms, 120 * ms, 560 * ms});
   const auto a = t.query() + ".0";
   const auto b = t.query() + ".0";
   ASSERT_EQ(t.attempts[a][0], 1U);
   ASSERT_EQ(t.attempts[b][0], 2U);
   t.now += 50 * ms;
   t.end(a, 0);
-  const auto c = t.query() + ".0";  // 1 again: pending from here on
+  const auto c = t.query() + ".0";  // server 1 again: outstanding from here on
   ASSERT_EQ(t.attempts[c][0], 1U);
   t.now += 200 * ms;
-  t.end(b, 0);  // the round's largest is 250 ms, above the age of the part at 1
-  ServerEntry two;
-  two.server = 2;
-  two.state = ServerState::draining;
-  t.list({two}, ListNews::Scope::changes);
-  const auto d = t.query() + ".0";  // 1 at its age alone would look more than 1.5 times faster than 3
+  t.end(b, 0);  // the largest delay since then is 250 ms, longer than the part at server 1 has been out
+  ServerEntry draining;
+  draining.server = 2;
+  draining.state = ServerState::draining;
+  t.list({draining}, ListNews::Scope::changes);
+  // By the age of its part alone, server 1 would look over 1.5 times faster than server 3.
+  const auto d = t.query() + ".0";
   EXPECT_EQ(t.attempts[d][0], 3U);
 }
 
 TEST(Mechanism, UnheardReplicaCountsAsTheShardsMean) {
-  Script t(noCopies());
+  Script t(withoutHedging());
   t.servers(2);
-  t.teach({100 * ms, 300 * ms});
+  t.measureDelays({100 * ms, 300 * ms});
   ServerEntry fresh;
   fresh.server = 3;
   t.list({fresh}, ListNews::Scope::changes);
   const auto first = t.query() + ".0";
   const auto second = t.query() + ".0";
-  EXPECT_EQ(t.attempts[first][0], 1U);   // heard at 100 ms, the mean is 200 ms
-  EXPECT_EQ(t.attempts[second][0], 3U);  // 200 ms before 300 ms
+  EXPECT_EQ(t.attempts[first][0], 1U);   // measured at 100 ms; the mean is 200 ms
+  EXPECT_EQ(t.attempts[second][0], 3U);  // assumed 200 ms beats a measured 300 ms
 }
 
 TEST(Mechanism, TwinsStayNearATenthAndGoToOtherReplicas) {
   Script t(basic());
   t.servers(3);
-  std::map<ServerId, int> twinOf;
-  int firsts = 0;
+  std::map<ServerId, int> hedgesByServer;
   for (int i = 0; i < 400; ++i) {
     const auto part = t.query() + ".0";
-    ++firsts;
     const auto sent = t.attempts[part];
-    ASSERT_LE(sent.size(), 2U);  // one twin a part at most
+    ASSERT_LE(sent.size(), 2U);  // at most one hedged request a part
     if (sent.size() == 2) {
       EXPECT_NE(sent[0], sent[1]);
-      ++twinOf[sent[1]];
+      ++hedgesByServer[sent[1]];
     }
     t.now += 40 * ms;
     t.end(part, 0);
   }
-  EXPECT_LE(t.copies(), 44U);
-  EXPECT_GE(t.copies(), 20U);
-  EXPECT_GE(twinOf.size(), 2U);  // random among the others, not always the same
+  EXPECT_LE(t.extraAttempts(), 44U);
+  EXPECT_GE(t.extraAttempts(), 20U);
+  EXPECT_GE(hedgesByServer.size(), 2U);  // the server is random, not always the same
 }
 
 TEST(Mechanism, FirstAnswerWinsAndTheLoserIsCancelledAtOnce) {
@@ -119,7 +123,7 @@
     t.now += 30 * ms;
     for (const auto* which : {".0", ".1"}) {
       if (t.attempts[id + which].size() != 2) continue;
-      t.end(id + which, 1);  // the query's other part is still out
+      t.end(id + which, 1);  // the query's other part is still outstanding
       EXPECT_EQ(t.finals[id], 0);
       ASSERT_EQ(t.cancels.size(), 1U);
       EXPECT_EQ(t.cancels[0].part, id + which);
@@ -129,7 +133,7 @@
     t.end(id + ".0", 0);
     t.end(id + ".1", 0);
   }
-  FAIL() << "no twin in 120 parts";
+  FAIL() << "no hedged request in 120 parts";
 }
 
 TEST(Mechanism, OnlySafePartsGetTwins) {
@@ -140,7 +144,7 @@
     Script t(s);
     t.servers(2);
     for (int i = 0; i < 100; ++i) t.round(20 * ms);
-    EXPECT_EQ(t.copies(), 0U);
+    EXPECT_EQ(t.extraAttempts(), 0U);
   }
 }
 
@@ -148,10 +152,10 @@
   Script t(basic());
   t.servers(3);
   for (int i = 0; i < 120; ++i) t.round(30 * ms);
-  for (int i = 0; i < 120; ++i) t.round(200 * ms);  // the median is now far above the calmest
-  const auto before = t.copies();
+  for (int i = 0; i < 120; ++i) t.round(200 * ms);  // the median is now far above that without queueing
+  const auto before = t.extraAttempts();
   for (int i = 0; i < 60; ++i) t.round(200 * ms);
-  EXPECT_LE(t.copies() - before, 1U);
+  EXPECT_LE(t.extraAttempts() - before, 1U);
 }
 
 // ---- no query lost ----
@@ -160,14 +164,14 @@
   Script t(basic());
   t.servers(2);
   const auto id = t.query(1, 0, 1500 * ms);
-  const Nanos due = t.now + 1500 * ms;
-  while (t.now < due + 20 * ms && t.finals[id] == 0) t.pass(5 * ms, 5 * ms);
+  const Nanos deadline = t.now + 1500 * ms;
+  while (t.now < deadline + 20 * ms && t.finals[id] == 0) t.pass(5 * ms, 5 * ms);
   EXPECT_EQ(t.finals[id], 1);
-  EXPECT_LE(t.now, due + 20 * ms);
+  EXPECT_LE(t.now, deadline + 20 * ms);
   const auto sent = t.sends.size();
   t.pass(2 * sec);
   EXPECT_EQ(t.finals[id], 1);
-  EXPECT_EQ(t.sends.size(), sent);  // nothing goes out for an ended query
+  EXPECT_EQ(t.sends.size(), sent);  // nothing is sent for an ended query
 }
 
 TEST(NoQueryLost, NoServersAtAllRefusesAtOnce) {
@@ -176,7 +180,7 @@
   EXPECT_EQ(t.finals[id], 1);
   ASSERT_EQ(t.refusals.size(), 1U);
   EXPECT_GT(t.refusals[0].retryAfter, 0);
-  EXPECT_LE(t.refusals[0].retryAfter, t.set.maxRetryAfter);
+  EXPECT_LE(t.refusals[0].retryAfter, t.settings.maxRetryAfter);
 }
 
 TEST(NoQueryLost, NoAdviceWhereClientsDoNotReceiveIt) {
@@ -208,7 +212,7 @@
   const auto id = t.query(1, 0, 2 * sec);
   const Nanos start = t.now;
   while (t.finals[id] == 0 && t.now < start + 3 * sec) t.pass(10 * ms);
-  EXPECT_LE(t.now - start, t.set.classes[0].aim + 20 * ms);
+  EXPECT_LE(t.now - start, t.settings.classes[0].aim + 20 * ms);
 }
 
 // ---- no effect twice ----
@@ -224,7 +228,7 @@
     t.end(id + ".0", 0, outcome);
     t.pass(3 * sec);
     EXPECT_EQ(t.sends.size(), 1U);
-    EXPECT_EQ(t.fails.size(), 1U);
+    EXPECT_EQ(t.failures.size(), 1U);
     EXPECT_TRUE(t.refusals.empty());
   }
 }
@@ -251,7 +255,7 @@
   const auto id = t.query();
   t.end(id + ".0", 0, Outcome::connectFailed);
   EXPECT_EQ(t.refusals.size(), 1U);
-  EXPECT_TRUE(t.fails.empty());
+  EXPECT_TRUE(t.failures.empty());
 }
 
 TEST(NoEffectTwice, KeyedPartIsResentOnlyWithinItsWindow) {
@@ -281,11 +285,11 @@
     t.end(part, i, Outcome::error);
   }
   EXPECT_EQ(t.attempts[part].size(), 3U);
-  EXPECT_EQ(t.refusals.size(), 1U);  // ended as soon as it can't be answered any more
+  EXPECT_EQ(t.refusals.size(), 1U);  // ended as soon as it can no longer be answered
 }
 
 TEST(NoEffectTwice, NoSecondCopyWhereNotAllowed) {
-  Script t(noCopies());
+  Script t(withoutHedging());
   t.servers(3);
   for (int i = 0; i < 50; ++i) t.round(20 * ms);
   const auto part = t.query() + ".0";
@@ -293,20 +297,21 @@
   EXPECT_EQ(t.attempts[part].size(), 1U);
 }
 
-// ---- drains ----
+// ---- connection draining ----
 
 TEST(Drains, NothingNewToADrainingGoneOrUnlistedServer) {
+  enum class Removal { draining, gone, unlisted };
   ServerEntry one, two;
   one.server = 1;
   two.server = 2;
-  for (int how = 0; how < 3; ++how) {
-    Script t(noCopies());
+  for (const auto removal : {Removal::draining, Removal::gone, Removal::unlisted}) {
+    Script t(withoutHedging());
     t.servers(2);
-    t.teach({20 * ms, 200 * ms});
-    if (how == 2) {
+    t.measureDelays({20 * ms, 200 * ms});
+    if (removal == Removal::unlisted) {
       t.list({two});  // a full list without server 1
     } else {
-      one.state = how == 0 ? ServerState::draining : ServerState::gone;
+      one.state = removal == Removal::draining ? ServerState::draining : ServerState::gone;
       t.list({one}, ListNews::Scope::changes);
     }
     const auto before = t.sends.size();
@@ -342,17 +347,17 @@
   for (int failure = 0; failure < 6; ++failure) {
     t.turn({ListNews{ListNews::Scope::failed, {}}});
     const Nanos start = t.now;
-    long asked = 0;
-    while (asked == 0 && t.now < start + 10 * sec) {
+    long requests = 0;
+    while (requests == 0 && t.now < start + 10 * sec) {
       t.now += 50 * ms;
-      asked = subscribes(t.turn({TimerFired{0}}));
+      requests = subscribes(t.turn({TimerFired{0}}));
     }
-    EXPECT_EQ(asked, 1);
+    EXPECT_EQ(requests, 1);
     EXPECT_LT(t.now - start, 6 * sec);
   }
 }
 
-// ---- cold servers ----
+// ---- slow start of cold servers ----
 
 TEST(Cold, FreshServerGetsNoMoreThanAFairShareInAnyWindow) {
   auto s = basic();
@@ -366,11 +371,11 @@
   fresh.server = 1;
   fresh.startedAt = t.now;
   t.list({fresh});
-  std::vector<Nanos> at;
+  std::vector<Nanos> sentAt;
   for (int i = 0; i < 300; ++i) {  // a burst of ten parts every 50 ms, all to the only server
     const auto before = t.sends.size();
     for (int k = 0; k < 10; ++k) t.query(1, 0, 500 * ms);
-    for (auto n = before; n < t.sends.size(); ++n) at.push_back(t.now);
+    for (auto n = before; n < t.sends.size(); ++n) sentAt.push_back(t.now);
     for (auto n = before; n < t.sends.size(); ++n) {
       const auto part = t.sends[n].part;
       t.now += 1 * ms;
@@ -380,21 +385,22 @@
     t.turn({TimerFired{0}});
     if (t.now > 104 * sec) break;
   }
-  ASSERT_FALSE(at.empty());
-  // Before anything is known a part counts as a tenth of the aim: 2.5 x 0.15 s / 3 allows a single one.
-  std::size_t most = 0;
-  for (std::size_t i = 0; i < at.size() && at[i] < 101 * sec; ++i) {
+  ASSERT_FALSE(sentAt.empty());
+  // Before any delay is measured a part counts as a tenth of the aim (0.1 s of work), so the limit per
+  // aggregator, 2.5 x 0.15 s / 3, admits one part.
+  std::size_t maxInWindow = 0;
+  for (std::size_t i = 0; i < sentAt.size() && sentAt[i] < 101 * sec; ++i) {
     std::size_t n = 0;
-    while (i + n < at.size() && at[i + n] < at[i] + 1 * sec) ++n;
-    most = std::max(most, n);
+    while (i + n < sentAt.size() && sentAt[i + n] < sentAt[i] + 1 * sec) ++n;
+    maxInWindow = std::max(maxInWindow, n);
   }
-  EXPECT_LE(most, 8U);
+  EXPECT_LE(maxInWindow, 8U);
 }
 
 TEST(Cold, CeilingForgetsAChanceQuickDelayAmongTheFirst) {
-  auto s = noCopies();
+  auto s = withoutHedging();
   s.coldFrom = 0.5;
-  s.coldFor = 1000 * sec;  // as cold all the time
+  s.coldFor = 1000 * sec;  // equally cold throughout the test
   s.tipMultiple = 2;
   s.tipWindow = 1 * sec;
   Script t(s);
@@ -405,8 +411,9 @@
   t.now += 2 * sec;
   const auto before = t.sends.size();
   for (int i = 0; i < 100; ++i) t.query();
-  EXPECT_LE(t.sends.size() - before, 20U);  // 2 x 0.5 s of work; of the quickest delay they are 200
-  EXPECT_GE(t.sends.size() - before, 12U);  // three fifths of 20
+  // 2 x 0.5 s of work are 20 parts of 50 ms; judged by the one delay of 5 ms they would be 200.
+  EXPECT_LE(t.sends.size() - before, 20U);
+  EXPECT_GE(t.sends.size() - before, 12U);  // at least 60% of the limit
 }
 
 TEST(Cold, BurstInOneTurnAgainstAColdServerIsLimited) {
@@ -427,8 +434,10 @@
 }
 
 TEST(Cold, UnheardColdReplicaDoesNotShutTheDoor) {
-  // A release left only a fresh replica: guessed at the usual delay over its warmth it was never asked.
-  auto s = noCopies();
+  // Guards against a rejected query when a rollout leaves only a fresh replica: its expected delay was taken
+  // as the usual delay divided by its share of capacity, too long to pass admission control, so it was never
+  // used.
+  auto s = withoutHedging();
   s.coldFrom = 0.15;
   s.coldFor = 16 * sec;
   Script t(s);
@@ -450,17 +459,23 @@
   s.tipWindow = 2 * sec;
   Script t(s);
   t.servers(3);
-  for (int i = 0; i < 200; ++i) t.round(ms), t.now += 4 * ms;
-  const auto busy = [&](int i) { t.round((2 + i % 3) * ms), t.now += 4 * ms; };
-  for (int i = 0; i < 100; ++i) busy(i);  // queues, by which copies at random stop
+  for (int i = 0; i < 200; ++i) {
+    t.round(ms);
+    t.now += 4 * ms;
+  }
+  const auto queryUnderLoad = [&](int i) {
+    t.round((2 + i % 3) * ms);
+    t.now += 4 * ms;
+  };
+  for (int i = 0; i < 100; ++i) queryUnderLoad(i);  // rising delays, as of a queue, suspend random hedging
   t.list({{.server = 2, .startedAt = t.now}}, ListNews::Scope::changes);
-  const Nanos back = t.now;
+  const Nanos restartedAt = t.now;
   const auto tried = [&] {
     return std::any_of(t.sends.begin(), t.sends.end(), [&](const Send& send) {
-      return send.server == 2 && t.sentAt[send.part].back() >= back;
+      return send.server == 2 && t.sentAt[send.part].back() >= restartedAt;
     });
   };
-  for (int i = 0; !tried() && t.now < back + 5 * sec; ++i) busy(i);
+  for (int i = 0; !tried() && t.now < restartedAt + 5 * sec; ++i) queryUnderLoad(i);
   EXPECT_TRUE(tried());
 }
 
@@ -488,7 +503,7 @@
   Script t(s);
   t.servers(3);
   const auto id = t.query(6);
-  EXPECT_EQ(t.sends.size(), 5U);  // 4 of 6 weigh 0.667, too little
+  EXPECT_EQ(t.sends.size(), 5U);  // 4 of 6 parts are 0.667 of the query, below the needed 0.67
   t.end(t.sends[0].part, 0, Outcome::connectFailed);
   const auto parts = t.attempts.size();
   EXPECT_GE(t.sends.size(), 6U);
@@ -539,7 +554,7 @@
   t.end(id + ".1", 0);
   ASSERT_EQ(t.answers.size(), 1U);
   t.now += 5 * ms;
-  t.turn({PartArrived{id + ".f", t.number, 0, 1.0}});
+  t.turn({PartArrived{id + ".f", t.lastQueryNumber, 0, 1.0}});
   ASSERT_EQ(t.attempts[id + ".f"].size() >= 1, true);
   EXPECT_EQ(t.answers.size(), 1U);
   t.end(id + ".f", 0);
@@ -554,11 +569,12 @@
   s.budget = AttemptBudget{2 * sec, 2, 0.1};
   Script t(s);
   t.servers(3);
-  std::vector<Nanos> taken, extra;
+  std::vector<Nanos> earning;  // times of arrivals, which earn budget: one of the query and one of its part
+  std::vector<Nanos> extra;    // times of further attempts, which use it
   for (int i = 0; i < 200; ++i) {
     const auto part = t.query() + ".0";
-    taken.push_back(t.now);
-    taken.push_back(t.now);
+    earning.push_back(t.now);
+    earning.push_back(t.now);
     t.now += 10 * ms;
     for (std::size_t k = 0; k < t.attempts[part].size(); ++k)
       t.end(part, static_cast<int>(k), Outcome::error);
@@ -570,17 +586,17 @@
   for (const auto end : extra) {
     const auto within = [&](Nanos x) { return x > end - 2 * sec && x <= end; };
     const auto extras = std::count_if(extra.begin(), extra.end(), within);
-    const auto took = std::count_if(taken.begin(), taken.end(), within);
-    EXPECT_LE(static_cast<double>(extras), 2 + 0.1 * static_cast<double>(took));
+    const auto earned = std::count_if(earning.begin(), earning.end(), within);
+    EXPECT_LE(static_cast<double>(extras), 2 + 0.1 * static_cast<double>(earned));
   }
 }
 
-// ---- failures and health ----
+// ---- failures, outlier ejection and admission control ----
 
 TEST(Health, FailingFastDoesNotLookFastest) {
-  Script t(noCopies());
+  Script t(withoutHedging());
   t.servers(2);
-  t.teach({100 * ms, 110 * ms});
+  t.measureDelays({100 * ms, 110 * ms});
   int toFailing = 0;
   for (int i = 0; i < 40; ++i) {
     const auto part = t.query() + ".0";
@@ -618,11 +634,11 @@
     t.end(part, 1);
     return "server " + std::to_string(server) + " set aside";
   };
-  const auto said = [&](const std::string& text) {
+  const auto logged = [&](const std::string& text) {
     return std::any_of(t.logs.begin(), t.logs.end(), [&](const auto& l) { return l.rfind(text, 0) == 0; });
   };
-  EXPECT_FALSE(said(fail(Outcome::reset)));
-  EXPECT_FALSE(said(fail(Outcome::error)));
+  EXPECT_FALSE(logged(fail(Outcome::reset)));
+  EXPECT_FALSE(logged(fail(Outcome::error)));
   Script twice(basic());
   twice.servers(1);
   for (int i = 0; i < 20; ++i) twice.round(20 * ms);
@@ -641,14 +657,14 @@
   Script t(basic());
   t.servers(1);
   for (int i = 0; i < 20; ++i) t.round(20 * ms);
-  for (int i = 0; i < 4; ++i) {  // each time it is set aside for longer
+  for (int i = 0; i < 4; ++i) {  // each ejection is longer than the one before
     const auto part = t.query() + ".0";
     if (t.attempts[part].empty()) t.pass(600 * ms);
     ASSERT_EQ(t.attempts[part].size(), 1U);
     t.end(part, 0, Outcome::rejected);
     t.pass(600 * ms);
-    ASSERT_GE(t.attempts[part].size(),
-              2U);  // it is the only holder: the part has waited and goes there again
+    // The server is the only holder of the shard: the part has waited and is retried there.
+    ASSERT_GE(t.attempts[part].size(), 2U);
     t.end(part, 1);
   }
 }
@@ -662,13 +678,15 @@
   const auto old = t.attempts[part].at(0);
   ServerEntry e;
   for (ServerId id = 1; id <= 2; ++id) {
-    e.server = id, e.state = ServerState::gone;
+    e.server = id;
+    e.state = ServerState::gone;
     t.list({e}, ListNews::Scope::changes);
   }
   const auto before = ::mallinfo2().uordblks;
-  // A query still names a gone one: its outcome is taken in all the same.
+  // An attempt is still outstanding at a removed server; its outcome must be handled.
   for (ServerId id = 3; id <= 20'000; ++id) {
-    e.server = id, e.state = id == 20'000 ? ServerState::up : ServerState::gone;
+    e.server = id;
+    e.state = id == 20'000 ? ServerState::up : ServerState::gone;
     t.list({e}, ListNews::Scope::changes);
   }
   EXPECT_LT(::mallinfo2().uordblks, before + 500'000);
@@ -681,9 +699,10 @@
   Script t(basic());
   t.servers(3);
   for (int i = 0; i < 100; ++i) t.round(40 * ms);
-  const auto copies = t.copies();
+  const auto before = t.extraAttempts();
   for (int i = 0; i < 60; ++i) t.round(300 * ms);
-  EXPECT_LE(t.copies() - copies, 18U);  // well under a third while delays rise eightfold
+  // Under a third of the queries, although delays rise more than sevenfold.
+  EXPECT_LE(t.extraAttempts() - before, 18U);
 }
 
 TEST(Health, OneSilentServerIsFoundAndLeft) {
@@ -709,13 +728,13 @@
 }
 
 TEST(Health, SilentServerIsBenched) {
-  Script t(noCopies());
+  Script t(withoutHedging());
   t.servers(3);
   for (int i = 0; i < 60; ++i) t.round(40 * ms);
   t.query();
   const auto hung = t.query();
   const auto server = t.attempts[hung + ".0"][0];
-  const auto says = [&](const std::string& what) {
+  const auto loggedOfServer = [&](const std::string& what) {
     return std::any_of(t.logs.begin(), t.logs.end(),
                        [&](const std::string& l) { return l == "server " + std::to_string(server) + what; });
   };
@@ -725,13 +744,13 @@
     t.turn({TimerFired{0}});
     if (t.attempts[part].size() == 1 && t.attempts[part][0] != server) t.end(part, 0);
   }
-  EXPECT_TRUE(says(" set aside: silent"));
+  EXPECT_TRUE(loggedOfServer(" set aside: silent"));
 }
 
 TEST(Health, TheDoorOpensAgainWhenOldEvidenceHasDrained) {
-  // After a stall of the aggregator itself all delays looked long, everything was refused and nothing heard
-  // again.
-  Script t(noCopies());
+  // Guards against permanent load shedding: after a stall of the aggregator itself all delays looked long,
+  // every query was rejected, and so no new delay was ever measured.
+  Script t(withoutHedging());
   t.servers(2);
   for (int i = 0; i < 30; ++i) t.round(50 * ms);
   for (int i = 0; i < 80; ++i) {
@@ -747,12 +766,12 @@
 }
 
 TEST(Health, ManyFailuresDoNotShutTheDoorOnSoundReplicas) {
-  // A failure used to double the remembered delay again and again; through the shard's mean that closed the
-  // door.
-  Script t(noCopies());
+  // Guards against failures that double the remembered delay without bound: through the mean of the shard
+  // admission control then rejected everything.
+  Script t(withoutHedging());
   t.servers(2);
-  t.teach({60 * ms, 61 * ms});
-  for (int i = 0; i < 10; ++i) t.round(60 * ms);  // enough to know the usual delay
+  t.measureDelays({60 * ms, 61 * ms});
+  for (int i = 0; i < 10; ++i) t.round(60 * ms);  // establishes the usual delay
   for (int i = 0; i < 12; ++i) {
     const auto part = t.query() + ".0";
     for (int k = 0; k < static_cast<int>(t.attempts[part].size()) && k < 4; ++k) {
@@ -767,7 +786,7 @@
 
 TEST(Health, OvertakenPartIsSentElsewhere) {
   auto s = basic();
-  s.classes[0].effect = Effect::keyed;  // no twins in the way
+  s.classes[0].effect = Effect::keyed;  // keyed parts are not hedged
   s.classes[0].keyedWindow = 5 * sec;
   Script t(s);
   t.servers(2);
@@ -784,8 +803,8 @@
       std::any_of(t.cancels.begin(), t.cancels.end(), [&](const Cancel& c) { return c.part == stuck; }));
 }
 
-// Guards against a step of the timer that passes over the last moment before the aim or the client's end: the
-// module is woken only when it has asked for it.
+// Guards against a timer that fires only after the last time at which an answer still meets the aim or the
+// client's deadline. The module is called only at the times for which it set a timer.
 TEST(Rules, LastMomentsAreNotMissedBetweenSteps) {
   for (const Nanos aim : {997 * ms, 1001 * ms, 1013 * ms}) {
     auto s = basic();
@@ -796,21 +815,21 @@
     Script t(s);
     t.servers(2);
     const Nanos arrived = t.now;
-    std::vector<Nanos> wakes;
-    const auto note = [&](const std::vector<Action>& actions) {
+    std::vector<Nanos> timers;
+    const auto recordTimers = [&](const std::vector<Action>& actions) {
       for (const auto& a : actions)
-        if (const auto* timer = std::get_if<SetTimer>(&a)) wakes.push_back(t.now + timer->wait);
+        if (const auto* timer = std::get_if<SetTimer>(&a)) timers.push_back(t.now + timer->wait);
     };
-    note(t.turn({QueryArrived{"q", 1, 0, 2 * sec, 2, false}, PartArrived{"q.0", 1, 0, 0.5},
-                 PartArrived{"q.1", 1, 1, 0.5}}));
+    recordTimers(t.turn({QueryArrived{"q", 1, 0, 2 * sec, 2, false}, PartArrived{"q.0", 1, 0, 0.5},
+                         PartArrived{"q.1", 1, 1, 0.5}}));
     t.now += ms;
-    note(t.turn({AttemptEnded{"q.0", 0, t.attempts["q.0"][0], Outcome::delivered, ms}}));
+    recordTimers(t.turn({AttemptEnded{"q.0", 0, t.attempts["q.0"][0], Outcome::delivered, ms}}));
     while (t.answers.empty()) {
-      const auto next = std::min_element(wakes.begin(), wakes.end());
-      ASSERT_NE(next, wakes.end());
+      const auto next = std::min_element(timers.begin(), timers.end());
+      ASSERT_NE(next, timers.end());
       t.now = std::max(t.now, *next);
-      wakes.erase(next);
-      note(t.turn({TimerFired{0}}));
+      timers.erase(next);
+      recordTimers(t.turn({TimerFired{0}}));
     }
     EXPECT_LE(t.now - arrived, aim - 3 * s.tick);
     EXPECT_FALSE(t.answers[0].whole);
--- a/tests/told_test.cpp
+++ b/tests/told_test.cpp
@@ -1,24 +1,26 @@
-// What is told: by peers, by a client's time, by how a connection broke; and partial answers.
+// What the module infers from messages of peers, from broken connections and from the time a client has left;
+// and partial answers.
 #include "script.hpp"
 
 namespace topazweir::test {
 namespace {
 
-Settings single() {  // no copies, so that each send is a choice
+// Without hedging, so that each send shows a choice of server.
+Settings withoutHedging() {
   auto s = basic();
   s.secondCopies = false;
   return s;
 }
 
 // The messages that an aggregator sends to its peers.
-std::vector<std::string> told(const std::vector<Action>& actions) {
+std::vector<std::string> messagesIn(const std::vector<Action>& actions) {
   std::vector<std::string> messages;
   for (const auto& a : actions)
-    if (const auto* t = std::get_if<Tell>(&a)) messages.push_back(t->bytes);
+    if (const auto* message = std::get_if<Tell>(&a)) messages.push_back(message->bytes);
   return messages;
 }
 
-// What a peer tells when it has just sent a part to this server.
+// The message of a peer that has just sent a part to this server.
 std::string messageFor(ServerId server, Settings s) {
   s.messages = true;
   Script peer(s);
@@ -27,23 +29,23 @@
   peer.list({e});
   peer.query();
   peer.now += 5 * ms;
-  const auto messages = told(peer.turn({TimerFired{0}}));
+  const auto messages = messagesIn(peer.turn({TimerFired{0}}));
   return messages.empty() ? std::string() : messages.front();
 }
 
 // ---- peers ----
 
 TEST(Peers, NothingIsToldWhereMessagesAreNotAllowed) {
-  EXPECT_FALSE(messageFor(1, single()).empty());
-  Script t(single());
+  EXPECT_FALSE(messageFor(1, withoutHedging()).empty());
+  Script t(withoutHedging());
   t.servers(2);
   t.query();
   t.now += 5 * ms;
-  EXPECT_TRUE(told(t.turn({TimerFired{0}})).empty());
+  EXPECT_TRUE(messagesIn(t.turn({TimerFired{0}})).empty());
 }
 
 TEST(Peers, QueueThatPeersMakeIsSeen) {
-  auto s = single();
+  auto s = withoutHedging();
   s.messages = true;
   s.aggregators = 8;
   const auto busy = messageFor(1, s);
@@ -51,9 +53,9 @@
   for (const bool heard : {false, true}) {
     Script t(s);
     t.servers(2);
-    t.teach({50 * ms, 60 * ms});
+    t.measureDelays({50 * ms, 60 * ms});
     for (int i = 0; i < 12; ++i) t.round(50 * ms);
-    t.teach({50 * ms, 60 * ms});
+    t.measureDelays({50 * ms, 60 * ms});
     if (heard)
       for (int i = 0; i < 12; ++i) t.turn({PeerMessage{2, busy}});
     EXPECT_EQ(t.attempts[t.query() + ".0"][0], heard ? 2U : 1U);
@@ -61,7 +63,7 @@
 }
 
 TEST(Peers, OddMessagesAreIgnored) {
-  auto s = single();
+  auto s = withoutHedging();
   s.messages = true;
   Script t(s);
   t.servers(2);
@@ -72,43 +74,44 @@
 }
 
 TEST(Peers, SendThatFailedAtOnceIsNoQueueForAnybody) {
-  auto s = single();
+  auto s = withoutHedging();
   s.messages = true;
   Script t(s);
   t.servers(1);
   const auto part = t.query() + ".0";
   t.now += 1 * ms;
   const auto actions = t.turn({AttemptEnded{part, 0, 1, Outcome::connectFailed, 1 * ms}});
-  EXPECT_TRUE(told(actions).empty());
+  EXPECT_TRUE(messagesIn(actions).empty());
 }
 
-// Peers that agree on a silent server put it last for one who has not heard it; a single one does not.
+// A server that several peers report as unresponsive is tried last by an aggregator without recent
+// measurements of its own; the report of a single peer has no effect.
 TEST(Peers, SilentServerIsTriedLastWhenSeveralAgree) {
-  auto s = single();
+  auto s = withoutHedging();
   s.messages = true;
   Script finder(s);
   finder.servers(1);
   for (int i = 0; i < 20; ++i) finder.round(40 * ms);
   finder.query();
-  std::string silent;
-  for (int i = 0; i < 200 && silent.empty(); ++i) {
+  std::string report;
+  for (int i = 0; i < 200 && report.empty(); ++i) {
     finder.now += 10 * ms;
-    for (const auto& message : told(finder.turn({TimerFired{0}})))
-      if (message.back() != messageFor(1, s).back()) silent = message;
+    for (const auto& message : messagesIn(finder.turn({TimerFired{0}})))
+      if (message.back() != messageFor(1, s).back()) report = message;
   }
-  ASSERT_FALSE(silent.empty());
+  ASSERT_FALSE(report.empty());
   for (const int peers : {1, 3}) {
     Script t(s);
     t.servers(2);
-    t.teach({50 * ms, 200 * ms});
-    t.now += 2 * sec;  // neither has been heard lately
-    for (int i = 0; i < peers; ++i) t.turn({PeerMessage{i + 1, silent}});
+    t.measureDelays({50 * ms, 200 * ms});
+    t.now += 2 * sec;  // there is no recent measurement of either
+    for (int i = 0; i < peers; ++i) t.turn({PeerMessage{i + 1, report}});
     EXPECT_EQ(t.attempts[t.query() + ".0"][0], peers > 1 ? 2U : 1U);
   }
-  Script own(s);  // own word outranks theirs
+  Script own(s);  // recent measurements of its own outweigh reports
   own.servers(2);
-  own.teach({50 * ms, 200 * ms});
-  for (int i = 0; i < 3; ++i) own.turn({PeerMessage{i + 1, silent}});
+  own.measureDelays({50 * ms, 200 * ms});
+  for (int i = 0; i < 3; ++i) own.turn({PeerMessage{i + 1, report}});
   EXPECT_EQ(own.attempts[own.query() + ".0"][0], 1U);
 }
 
@@ -116,13 +119,14 @@
 
 TEST(Connections, BreakBeforeAnyWorkIsNoKillingQuery) {
   for (const bool early : {true, false}) {
-    auto s = single();
+    auto s = withoutHedging();
     s.shards = 3;
     Script t(s);
     t.servers(6);
     for (int i = 0; i < 20; ++i) t.round(40 * ms);
     const auto id = t.query(3);
-    // A first try is blamed after two servers; before a part has been worked on a break says nothing of it.
+    // A query on its first attempt is blamed once two servers broke the connection. A break that comes before
+    // the part can have been processed (here after 1 ms) does not count.
     for (int nth = 0; nth < 2; ++nth) {
       EXPECT_EQ(t.finals[id], 0);
       EXPECT_EQ(t.attempts[id + ".0"].size(), static_cast<std::size_t>(nth) + 1);
@@ -139,7 +143,7 @@
   Script t(s);
   t.servers(3);
   for (int i = 0; i < 60; ++i) t.round(40 * ms);
-  EXPECT_LE(t.copies(), 2U);
+  EXPECT_LE(t.extraAttempts(), 2U);
   const auto part = t.query() + ".0";
   const auto sends = t.attempts[part].size();
   t.now += 1 * ms;
@@ -148,7 +152,7 @@
 }
 
 TEST(Connections, WhoCantGoOnSendsItsClientBackSoon) {
-  auto s = single();
+  auto s = withoutHedging();
   s.maxAttempts = 1;
   Script t(s);
   t.servers(2);
@@ -161,10 +165,11 @@
   EXPECT_LT(t.refusals[0].retryAfter, 100 * ms);
 }
 
-// ---- answers in part, and the client's time ----
+// ---- partial answers, and the time a client has left ----
 
-Settings parted() {
-  auto s = single();
+// Four shards; half of the parts suffice for a partial answer, and a late answer is worth nothing.
+Settings withPartialAnswers() {
+  auto s = withoutHedging();
   s.shards = 4;
   s.classes[0].floor = 0.5;
   s.classes[0].partialWorth = 0.8;
@@ -173,7 +178,7 @@
 }
 
 TEST(Partial, WhatIsInGoesOutWhileTheClientStillGetsItWithinTheAim) {
-  Script t(parted());
+  Script t(withPartialAnswers());
   t.servers(4);
   const Nanos start = t.now;
   const auto id = t.query(4);
@@ -183,12 +188,12 @@
   while (t.answers.empty() && t.now < start + 1500 * ms) t.pass(5 * ms, 5 * ms);
   ASSERT_EQ(t.answers.size(), 1U);
   EXPECT_FALSE(t.answers[0].whole);
-  EXPECT_LT(t.now, start + t.set.classes[0].aim);
-  EXPECT_GT(t.now, start + t.set.classes[0].aim - 50 * ms);
+  EXPECT_LT(t.now, start + t.settings.classes[0].aim);
+  EXPECT_GT(t.now, start + t.settings.classes[0].aim - 50 * ms);
 }
 
 TEST(Partial, ItWaitsWhereTheWholeIsWorthMoreLater) {
-  auto s = parted();
+  auto s = withPartialAnswers();
   s.classes[0].lateWorth = 0.9;
   Script t(s);
   t.servers(4);
@@ -201,7 +206,7 @@
 }
 
 TEST(Partial, NeverUnderTheFloor) {
-  Script t(parted());
+  Script t(withPartialAnswers());
   t.servers(4);
   const auto id = t.query(4);
   t.now += 40 * ms;
@@ -212,7 +217,7 @@
 }
 
 TEST(Partial, SecondStepOfAClassWithoutAFloorIsNotAnsweredInPart) {
-  auto s = single();
+  auto s = withoutHedging();
   s.shards = 2;
   s.classes[0].secondStepParts = 2;
   s.classes[0].lateWorth = 0;
@@ -223,7 +228,8 @@
   t.end(id + ".0", 0);
   t.end(id + ".1", 0);
   ASSERT_EQ(t.answers.size(), 1U);
-  t.turn({PartArrived{id + ".2", t.number, 0, 0.5}, PartArrived{id + ".3", t.number, 1, 0.5}});
+  t.turn(
+      {PartArrived{id + ".2", t.lastQueryNumber, 0, 0.5}, PartArrived{id + ".3", t.lastQueryNumber, 1, 0.5}});
   t.now += 40 * ms;
   t.end(id + ".2", 0);
   t.pass(2 * sec);
@@ -231,23 +237,24 @@
   EXPECT_EQ(t.refusals.size(), 1U);
 }
 
-// A try of less time than a first one is what is left after earlier ones: past a worthless aim it is ended.
+// Where clients do not mark retries, a query with less time left than a first attempt has is taken for a
+// retry. If its aim has passed and a late answer is worth nothing, it is rejected at once.
 TEST(ClientTime, UnmarkedRepeatPastItsAimIsRefusedAtOnce) {
   for (const bool marked : {false, true}) {
-    auto s = single();
+    auto s = withoutHedging();
     s.classes[0].deadline = 3 * sec;
     s.classes[0].lateWorth = 0;
     s.repeatsMarked = marked;
     Script t(s);
     t.servers(2);
-    for (int i = 0; i < 20; ++i) t.round(40 * ms);  // first tries have 2 s
-    t.query(1, 0, 1700 * ms);                       // 1.3 s are gone
+    for (int i = 0; i < 20; ++i) t.round(40 * ms);  // a first attempt has 2 s
+    t.query(1, 0, 1700 * ms);                       // 1.3 s have passed
     EXPECT_EQ(t.refusals.size(), marked ? 0U : 1U);
   }
 }
 
 TEST(ClientTime, ClientInAHurryIsServed) {
-  auto s = single();
+  auto s = withoutHedging();
   s.classes[0].lateWorth = 0;
   s.repeatsMarked = false;
   Script t(s);
