--- a/src/lab/deployed_settings.hpp
+++ b/src/lab/deployed_settings.hpp
@@ -1,24 +1,30 @@
-// The module's settings as they are deployed, as far as tests and experiments share them; what differs (the
-// classes, shards and cells, seed) each sets itself.
+// The deployed settings of the decision module, shared by tests and experiments. Each caller sets what
+// differs: the classes, shards and cells, and the seed.
 #pragma once
 
 #include "topazweir/aggregator.hpp"
 
 namespace topazweir::lab {
 
+// `aggregators`: how many aggregators send to the same servers.
 inline Settings deployedSettings(int aggregators) {
-  constexpr Nanos kMs = 1'000'000, kSec = 1000 * kMs;
-  Settings s;
-  s.aggregators = aggregators;
-  s.tick = 1 * kMs;
-  s.maxAttempts = 4;
-  s.secondCopies = s.cancelling = s.retryAfter = true;
-  s.maxRetryAfter = 2 * kSec;
-  s.answerSlack = 5 * kMs;
-  s.drainGrace = 500 * kMs;
-  s.coldFrom = 0.22, s.coldFor = 17 * kSec;
-  s.tipMultiple = 4, s.tipWindow = 2 * kSec;
-  return s;
+  constexpr Nanos kMs = 1'000'000;
+  constexpr Nanos kSec = 1000 * kMs;
+  Settings settings;
+  settings.aggregators = aggregators;
+  settings.tick = 1 * kMs;
+  settings.maxAttempts = 4;
+  settings.secondCopies = true;
+  settings.cancelling = true;
+  settings.retryAfter = true;
+  settings.maxRetryAfter = 2 * kSec;
+  settings.answerSlack = 5 * kMs;
+  settings.drainGrace = 500 * kMs;
+  settings.coldFrom = 0.22;
+  settings.coldFor = 17 * kSec;
+  settings.tipMultiple = 4;
+  settings.tipWindow = 2 * kSec;
+  return settings;
 }
 
 }  // namespace topazweir::lab
--- a/src/lab/grpc_load.cpp
+++ b/src/lab/grpc_load.cpp
@@ -1,5 +1,6 @@
-// Measures the gRPC front: calls straight to a stand-in against calls through a broker of its own process, in
-// one run. The cases and the claims stand in an experiment file; ends non-zero where a claim does not hold.
+// Measures the gRPC front: compares calls made directly to a fake backend with calls through a broker in its
+// own process. An experiment file gives the cases and the claims. Exit status: 0 if all claims hold, 1 if one
+// does not, 2 if the file is invalid.
 #include <fcntl.h>
 #include <fmt/format.h>
 #include <signal.h>
@@ -23,21 +24,33 @@
 namespace {
 
 using namespace topazweir;
-constexpr Nanos kMs = 1'000'000, kSecond = 1000 * kMs;
+constexpr Nanos kMs = 1'000'000;
+constexpr Nanos kSecond = 1000 * kMs;
+constexpr Nanos kStopCheckInterval = 20 * kMs;
+constexpr int kMaxClients = 4;                    // connections of a closed loop
+constexpr Nanos kClosedLoopGrace = 30 * kSecond;  // for calls still open at the end
+constexpr Nanos kPacingInterval = 5 * kMs;
+constexpr std::int32_t kReaderWindowBytes = 1024 * 1024;
+constexpr int kStreamsPerSession = 1000;
+constexpr Nanos kIdleOpenTime = 8 * kSecond;     // for all idle streams to open
+constexpr Nanos kIdleMeasureTime = 2 * kSecond;  // over which idle CPU time is measured
+constexpr useconds_t kBrokerStartTimeUs = 300'000;
+constexpr int kBrokerStopChecks = 200;  // then it is killed
+constexpr useconds_t kBrokerStopCheckUs = 20'000;
+constexpr std::uint64_t kBytesPerMib = 1048576;
 
-// A stand-in backend on a thread of its own.
+// A fake backend with an event loop on its own thread.
 class BackendThread {
  public:
   BackendThread()
       : thread_([this] {
           net::Loop loop;
-          loop_ = &loop;
           lab::GrpcStandIn server(loop, "load");
           address_.set_value(server.address());
-          std::function<void()> look = [&] {
-            stop_ ? loop.stop() : static_cast<void>(loop.after(20 * kMs, look));
+          std::function<void()> checkStop = [&] {
+            stop_ ? loop.stop() : static_cast<void>(loop.after(kStopCheckInterval, checkStop));
           };
-          look();
+          checkStop();
           loop.run();
         }) {
     address = address_.get_future().get();
@@ -51,11 +64,10 @@
  private:
   std::promise<std::string> address_;
   std::atomic<bool> stop_{false};
-  net::Loop* loop_ = nullptr;
   std::thread thread_;
 };
 
-// The broker as it is deployed, in a process of its own.
+// The broker program in its own process, with one gRPC pool and a route for all calls.
 class BrokerProcess {
  public:
   BrokerProcess(const std::string& program, const std::string& backend) : address(lab::freeAddress()) {
@@ -70,30 +82,33 @@
     if (pid_ == 0) {
       ::prctl(PR_SET_PDEATHSIG, SIGKILL);
       ::unsetenv("NODE_CONFIG");
-      const int null = ::open("/dev/null", O_WRONLY);
-      ::dup2(null, 2);
+      const int nullDevice = ::open("/dev/null", O_WRONLY);
+      ::dup2(nullDevice, 2);
       ::execl(program.c_str(), program.c_str(), "run", "--operator", file_.c_str(),
               static_cast<char*>(nullptr));
       std::_Exit(127);
     }
-    ::usleep(300'000);
+    ::usleep(kBrokerStartTimeUs);
   }
   ~BrokerProcess() {
     ::kill(pid_, SIGTERM);
     int status = 0;
-    for (int i = 0; i < 200 && ::waitpid(pid_, &status, WNOHANG) == 0; ++i) ::usleep(20'000);
+    for (int i = 0; i < kBrokerStopChecks && ::waitpid(pid_, &status, WNOHANG) == 0; ++i)
+      ::usleep(kBrokerStopCheckUs);
     ::kill(pid_, SIGKILL);
     ::waitpid(pid_, &status, 0);
     ::unlink(file_.c_str());
   }
+  // CPU time in user and kernel mode so far.
   double cpuSeconds() const {
     std::ifstream in(fmt::format("/proc/{}/stat", pid_));
     std::string word;
-    double ticks = 0;
-    for (int i = 1; i <= 15 && in >> word; ++i)
-      if (i >= 14) ticks += std::stod(word);
+    double ticks = 0;  // fields 14 (utime) and 15 (stime)
+    for (int field = 1; field <= 15 && in >> word; ++field)
+      if (field >= 14) ticks += std::stod(word);
     return ticks / static_cast<double>(::sysconf(_SC_CLK_TCK));
   }
+  // Resident memory in MiB; `key` is a line of /proc/<pid>/status.
   double residentMb(const char* key = "VmRSS:") const {
     std::ifstream in(fmt::format("/proc/{}/status", pid_));
     std::string word;
@@ -109,38 +124,44 @@
 };
 
 struct Figures {
-  double perSecond = 0, p50 = 0, p99 = 0, p999 = 0;  // latencies in microseconds
-  std::uint64_t calls = 0, failed = 0;
+  double perSecond = 0;
+  double p50 = 0;  // latencies in microseconds
+  double p99 = 0;
+  double p999 = 0;
+  std::uint64_t calls = 0;
+  std::uint64_t failed = 0;
 };
 
-// `inFlight` calls at a time over a few connections, each answer followed by the next call.
+// Keeps `inFlight` calls outstanding over up to kMaxClients connections: each response is followed by the
+// next call. Measures for `time`, after a warm-up of a fifth of it.
 Figures closedLoop(const std::string& address, int inFlight, std::size_t bytes, Nanos time) {
   net::Loop loop;
   std::vector<std::unique_ptr<lab::GrpcClient>> clients;
-  for (int i = 0; i < std::min(inFlight, 4); ++i)
+  for (int i = 0; i < std::min(inFlight, kMaxClients); ++i)
     clients.push_back(std::make_unique<lab::GrpcClient>(loop, address));
   const std::string body(bytes, 'b');
   std::vector<Nanos> latencies;
   latencies.reserve(1 << 20);
   Figures out;
-  const Nanos warm = loop.now() + time / 5, end = warm + time;
-  int open = 0;
+  const Nanos measureFrom = loop.now() + time / 5;
+  const Nanos end = measureFrom + time;
+  int outstanding = 0;
   std::function<void(std::size_t)> next = [&](std::size_t client) {
-    ++open;
+    ++outstanding;
     clients[client]->call("/lab.Load/Echo", body, {}, [&, client](const lab::GrpcClient::Reply& reply) {
-      --open;
+      --outstanding;
       const Nanos now = loop.now();
       if (reply.status != 0 || reply.body.size() != bytes) ++out.failed;
-      if (now >= warm && now < end) latencies.push_back(reply.took);
+      if (now >= measureFrom && now < end) latencies.push_back(reply.took);
       if (now < end) return next(client);
-      if (open == 0) loop.stop();
+      if (outstanding == 0) loop.stop();
     });
   };
   for (int i = 0; i < inFlight; ++i) next(static_cast<std::size_t>(i) % clients.size());
-  loop.after(time * 2 + 30 * kSecond, [&] { loop.stop(); });
+  loop.after(time * 2 + kClosedLoopGrace, [&] { loop.stop(); });
   loop.run();
   std::sort(latencies.begin(), latencies.end());
-  const auto at = [&](double q) {
+  const auto quantileUs = [&](double q) {
     return latencies.empty()
                ? 0.0
                : static_cast<double>(
@@ -149,17 +170,20 @@
   };
   out.calls = latencies.size();
   out.perSecond = static_cast<double>(latencies.size()) / (static_cast<double>(time) / 1e9);
-  out.p50 = at(0.5), out.p99 = at(0.99), out.p999 = at(0.999);
+  out.p50 = quantileUs(0.5);
+  out.p99 = quantileUs(0.99);
+  out.p999 = quantileUs(0.999);
   return out;
 }
 
-// One stream, read at a given pace (bytes a second; 0: as fast as it comes).
+// Reads one response stream of `bytes` at `pace` bytes per second (0: as fast as it arrives), then stops the
+// loop.
 class Reader : http2::Session::Handler {
  public:
   Reader(net::Loop& loop, const std::string& address, std::uint64_t bytes, double pace)
       : loop_(loop), pace_(pace) {
     http2::Limits limits;
-    limits.window = 1024 * 1024;
+    limits.window = kReaderWindowBytes;
     session_ = http2::Session::connect(loop, Poco::Net::SocketAddress(address), kSecond, limits, *this);
     stream_ = session_->request({{":method", "POST"},
                                  {":scheme", "http"},
@@ -170,25 +194,26 @@
                                  {"x-bytes", std::to_string(bytes)}},
                                 true);
     startedAt_ = loop.now();
-    if (pace > 0) tick();
+    if (pace > 0) consumeDue();
   }
-  std::uint64_t got = 0;
-  bool good = false;
+  std::uint64_t received = 0;  // bytes
+  bool succeeded = false;      // the stream ended with grpc-status 0
   Nanos took = 0;
 
  private:
-  void tick() {
+  // Returns flow-control credit, as far as the pace allows by now.
+  void consumeDue() {
     const auto due = static_cast<std::uint64_t>(static_cast<double>(loop_.now() - startedAt_) / 1e9 * pace_);
-    const auto step = std::min(got, due) - std::min(consumed_, std::min(got, due));
-    consumed_ += step;
-    session_->consume(stream_, static_cast<std::size_t>(step));
-    if (took == 0) loop_.after(5 * kMs, [this] { tick(); });
+    const auto bytes = std::min(received, due) - std::min(consumed_, std::min(received, due));
+    consumed_ += bytes;
+    session_->consume(stream_, static_cast<std::size_t>(bytes));
+    if (took == 0) loop_.after(kPacingInterval, [this] { consumeDue(); });
   }
   void onHead(http2::Session&, http2::StreamId, calls::Fields, bool end) override {
     if (end) finish(false);
   }
   void onData(http2::Session& session, http2::StreamId id, std::string_view bytes) override {
-    got += bytes.size();
+    received += bytes.size();
     if (pace_ <= 0) session.consume(id, bytes.size());
   }
   void onEnd(http2::Session&, http2::StreamId, calls::Fields trailers) override {
@@ -201,7 +226,7 @@
   void onGone(http2::Session&, net::ConnectionEnd) override { finish(false); }
   void finish(bool ok) {
     if (took > 0) return;
-    good = ok;
+    succeeded = ok;
     took = loop_.now() - startedAt_;
     loop_.stop();
   }
@@ -213,12 +238,12 @@
   std::uint64_t consumed_ = 0;
 };
 
-// Streams that are opened, say one word each way and then nothing.
-class Idlers : http2::Session::Handler {
+// Streams that carry one message each way and then stay open and idle, kStreamsPerSession to a connection.
+class IdleStreams : http2::Session::Handler {
  public:
-  Idlers(net::Loop& loop, const std::string& address, int streams) {
+  IdleStreams(net::Loop& loop, const std::string& address, int streams) {
     for (int i = 0; i < streams; ++i) {
-      if (i % 1000 == 0)
+      if (i % kStreamsPerSession == 0)
         sessions_.push_back(
             http2::Session::connect(loop, Poco::Net::SocketAddress(address), kSecond, {}, *this));
       sent_[{sessions_.back().get(), sessions_.back()->request({{":method", "POST"},
@@ -231,7 +256,8 @@
                                                                false)}] = false;
     }
   }
-  int answered = 0, closed = 0;
+  int answered = 0;
+  int closed = 0;
 
  private:
   void onHead(http2::Session&, http2::StreamId, calls::Fields, bool) override {}
@@ -246,38 +272,41 @@
     auto& sent = sent_[{&session, id}];
     http2::Pulled out{0, http2::Pulled::Then::wait, {}};
     if (std::exchange(sent, true)) return out;
-    const auto word = lab::prefixed("hello");
-    std::copy(word.begin(), word.end(), to);
-    out.size = word.size();
+    const auto message = lab::lengthPrefixed("hello");
+    std::copy(message.begin(), message.end(), to);
+    out.size = message.size();
     return out;
   }
   std::vector<std::unique_ptr<http2::Session>> sessions_;
   std::map<std::pair<http2::Session*, http2::StreamId>, bool> sent_;
 };
 
+// Prints each claim with its result and counts those that do not hold.
 struct Claims {
   int broken = 0;
-  void check(bool holds, const std::string& words) {
-    std::cout << (holds ? "claim holds: " : "CLAIM BROKEN: ") << words << '\n';
+  void check(bool holds, const std::string& claim) {
+    std::cout << (holds ? "claim holds: " : "CLAIM BROKEN: ") << claim << '\n';
     broken += holds ? 0 : 1;
   }
 };
 
+// Runs the cases of an experiment file; returns the number of claims that do not hold.
 int measure(const std::string& program, const config::Reader& file) {
   Claims claims;
   const Nanos time = file.integer("seconds", 1, 600, 5) * kSecond;
   std::cout << fmt::format("{:>9} {:>8} {:>11} {:>11} {:>6} {:>11} {:>11} {:>11} {:>11} {:>9} {:>8}\n",
                            "in flight", "bytes", "direct/s", "broker/s", "ratio", "direct p50", "added p50",
                            "added p99", "added p99.9", "cpu us", "MB");
-  for (const auto& c : file.objects("unary")) {
-    const int inFlight = static_cast<int>(c.integer("inFlight", 1, 100'000));
-    const auto bytes = static_cast<std::size_t>(c.integer("bytes", 0, 10'000'000));
+  for (const auto& unary : file.objects("unary")) {
+    const int inFlight = static_cast<int>(unary.integer("inFlight", 1, 100'000));
+    const auto bytes = static_cast<std::size_t>(unary.integer("bytes", 0, 10'000'000));
     BackendThread backend;
     const auto direct = closedLoop(backend.address, inFlight, bytes, time);
     BrokerProcess broker(program, backend.address);
-    closedLoop(broker.address, 1, 10, kSecond / 4);  // its connection is up, and its caches are warm
+    closedLoop(broker.address, 1, 10, kSecond / 4);  // opens its connection and warms its caches
     const double before = broker.cpuSeconds();
     const auto through = closedLoop(broker.address, inFlight, bytes, time);
+    // The CPU time covers the warm-up too, 1.2 times the measured calls.
     const double cpu =
         (broker.cpuSeconds() - before) / 1.2 / std::max(1.0, static_cast<double>(through.calls)) * 1e6;
     const double ratio = through.perSecond / std::max(1.0, direct.perSecond);
@@ -289,23 +318,24 @@
                      broker.residentMb("VmHWM:"))
               << std::flush;
     claims.check(direct.failed + through.failed == 0, "every call was answered, with its own bytes");
-    if (const double least = c.number("leastRatio", 0, 1, 0); least > 0)
-      claims.check(ratio >= least,
-                   fmt::format("throughput through the broker at least {} of direct: {:.2f}", least, ratio));
+    if (const double minRatio = unary.number("leastRatio", 0, 1, 0); minRatio > 0)
+      claims.check(
+          ratio >= minRatio,
+          fmt::format("throughput through the broker at least {} of direct: {:.2f}", minRatio, ratio));
   }
-  if (const auto s = file.object("stream")) {
-    const auto bytes = static_cast<std::uint64_t>(s->integer("mebibytes", 1, 100'000)) * 1024 * 1024;
-    const double slower = s->number("slower", 1, 1000, 10);
+  if (const auto stream = file.object("stream")) {
+    const auto bytes = static_cast<std::uint64_t>(stream->integer("mebibytes", 1, 100'000)) * 1024 * 1024;
+    const double slower = stream->number("slower", 1, 1000, 10);
     BackendThread backend;
     net::Loop fastLoop;
     Reader fast(fastLoop, backend.address, bytes / 4, 0);
     fastLoop.run();
-    const double direct = static_cast<double>(fast.got) / (static_cast<double>(fast.took) / 1e9);
+    const double direct = static_cast<double>(fast.received) / (static_cast<double>(fast.took) / 1e9);
     BrokerProcess broker(program, backend.address);
     net::Loop throughLoop;
     Reader through(throughLoop, broker.address, bytes / 4, 0);
     throughLoop.run();
-    const double rate = static_cast<double>(through.got) / (static_cast<double>(through.took) / 1e9);
+    const double rate = static_cast<double>(through.received) / (static_cast<double>(through.took) / 1e9);
     net::Loop slowLoop;
     Reader slow(slowLoop, broker.address, bytes, rate / slower);
     slowLoop.run();
@@ -313,46 +343,49 @@
         "stream: direct {:.0f} MiB/s, through the broker {:.0f} MiB/s ({:.2f}); {} MiB read {} times slower: "
         "{} s, "
         "resident at most {:.1f} MB\n",
-        direct / 1048576, rate / 1048576, rate / direct, bytes / 1048576, slower, slow.took / kSecond,
-        broker.residentMb("VmHWM:"));
-    claims.check(fast.good && through.good && slow.good && slow.got >= bytes - 65536,
+        direct / static_cast<double>(kBytesPerMib), rate / static_cast<double>(kBytesPerMib), rate / direct,
+        bytes / kBytesPerMib, slower, slow.took / kSecond, broker.residentMb("VmHWM:"));
+    claims.check(fast.succeeded && through.succeeded && slow.succeeded && slow.received >= bytes - 65536,
                  "the streams came whole");
-    const double most = s->number("mostMb", 0, 1e6, 64);
-    claims.check(broker.residentMb("VmHWM:") <= most, fmt::format("resident within {} MB", most));
+    const double maxMb = stream->number("mostMb", 0, 1e6, 64);
+    claims.check(broker.residentMb("VmHWM:") <= maxMb, fmt::format("resident within {} MB", maxMb));
   }
-  if (const auto s = file.object("idle")) {
-    const int streams = static_cast<int>(s->integer("streams", 1, 1'000'000));
+  if (const auto idleCase = file.object("idle")) {
+    const int streams = static_cast<int>(idleCase->integer("streams", 1, 1'000'000));
     BackendThread backend;
     BrokerProcess broker(program, backend.address);
     const double start = broker.residentMb();
     net::Loop loop;
-    Idlers idlers(loop, broker.address, streams);
-    loop.after(8 * kSecond, [&] { loop.stop(); });
+    IdleStreams idle(loop, broker.address, streams);
+    loop.after(kIdleOpenTime, [&] { loop.stop(); });
     loop.run();
     const double cpu = broker.cpuSeconds();
+    constexpr double idleSeconds = static_cast<double>(kIdleMeasureTime) / 1e9;
     net::Loop rest;
-    rest.after(2 * kSecond, [&] { rest.stop(); });
+    rest.after(kIdleMeasureTime, [&] { rest.stop(); });
     rest.run();
     std::cout << fmt::format(
         "idle: {} of {} streams open, resident {:.1f} MB ({:.1f} at start, {:.1f} KB a stream), {:.0f}% of a "
         "core idle\n",
-        idlers.answered - idlers.closed, streams, broker.residentMb(), start,
-        (broker.residentMb() - start) * 1024 / streams, (broker.cpuSeconds() - cpu) / 2 * 100);
-    claims.check(idlers.answered == streams && idlers.closed == 0, "all streams are open");
-    const double most = s->number("mostMb", 0, 1e6, 150);
-    claims.check(broker.residentMb() <= most, fmt::format("resident within {} MB", most));
+        idle.answered - idle.closed, streams, broker.residentMb(), start,
+        (broker.residentMb() - start) * 1024 / streams, (broker.cpuSeconds() - cpu) / idleSeconds * 100);
+    claims.check(idle.answered == streams && idle.closed == 0, "all streams are open");
+    const double maxMb = idleCase->number("mostMb", 0, 1e6, 150);
+    claims.check(broker.residentMb() <= maxMb, fmt::format("resident within {} MB", maxMb));
   }
   return claims.broken;
 }
 
 }  // namespace
 
-int main(int count, char** words) {
-  std::string experiment, program = "build/topazweir";
-  CLI::App app("Measures calls through topazweir against calls without it, as an experiment file says.");
+int main(int argc, char** argv) {
+  std::string experiment;
+  std::string program = "build/topazweir";
+  CLI::App app(
+      "Compares gRPC calls through topazweir with direct calls, as described by an experiment file.");
   app.add_option("EXPERIMENT", experiment, "experiments/grpc-*.hcl")->required();
-  app.add_option("--program", program, "the broker");
-  CLI11_PARSE(app, count, words);
+  app.add_option("--program", program, "path of the topazweir program");
+  CLI11_PARSE(app, argc, argv);
   try {
     const auto root = config::readHcl(config::readFile(experiment), experiment);
     const config::Reader file(root, "", experiment);
--- a/src/lab/grpc_stand_in.cpp
+++ b/src/lab/grpc_stand_in.cpp
@@ -9,10 +9,14 @@
 
 namespace {
 
-constexpr std::size_t kPrefix = 5;
+constexpr std::size_t kPrefixBytes = 5;  // a flag and a 32-bit length
+constexpr Nanos kConnectTimeout = 1'000'000'000;
 
-// Copies what is left of a text; whether it is now through.
-http2::Pulled pull(const std::string& text, std::size_t& sent, char* to, std::size_t most) {
+constexpr int kMaxStreams = 10'000;
+constexpr int kWindowBytes = 1024 * 1024;
+
+// Copies the next bytes of a text, at most `most`, and counts them in `sent`.
+http2::Pulled copyNext(const std::string& text, std::size_t& sent, char* to, std::size_t most) {
   http2::Pulled out;
   out.size = std::min(most, text.size() - sent);
   std::memcpy(to, text.data() + sent, out.size);
@@ -20,12 +24,12 @@
   return out;
 }
 
-// A message of 64 KiB with its prefix.
-const std::string kZeros = prefixed(std::string(64 * 1024 - kPrefix, '\0'));
+// A message of zeros, 64 KiB with its prefix.
+const std::string kZeroMessage = lengthPrefixed(std::string(64 * 1024 - kPrefixBytes, '\0'));
 
 }  // namespace
 
-std::string prefixed(const std::string& body) {
+std::string lengthPrefixed(const std::string& body) {
   std::string out(1, '\0');
   for (int shift = 24; shift >= 0; shift -= 8) out += static_cast<char>(body.size() >> shift);
   return out + body;
@@ -46,8 +50,8 @@
   event->release();
   auto peer = std::make_unique<Peer>();
   http2::Limits limits;
-  limits.streams = 10'000;
-  limits.window = 1024 * 1024;
+  limits.streams = kMaxStreams;
+  limits.window = kWindowBytes;
   peer->session = http2::Session::accept(loop_, listener_.acceptConnection(), limits, *this);
   peers_[peer->session.get()] = std::move(peer);
 }
@@ -63,7 +67,7 @@
   ++calls_;
   auto& call = peers_.at(&session)->calls[id];
   if (const auto bytes = calls::find(head, "x-bytes"))
-    call.zeros = std::stoull(std::string(*bytes)) / kZeros.size() * kZeros.size();
+    call.zeros = std::stoull(std::string(*bytes)) / kZeroMessage.size() * kZeroMessage.size();
   call.open = calls::find(head, "x-open").has_value();
   if (call.open) session.respond(id, {{":status", "200"}, {"content-type", "application/grpc"}});
   if (end) onEnd(session, id, {});
@@ -96,14 +100,16 @@
   auto* call = find(session, id);
   if (!call) return {0, http2::Pulled::Then::end, {}};
   http2::Pulled out;
-  if (call->zeros > 0) {  // a whole number of messages: where one stands says how many are left
-    const auto at = static_cast<std::size_t>((kZeros.size() - call->zeros % kZeros.size()) % kZeros.size());
-    out.size = std::min({most, kZeros.size() - at, static_cast<std::size_t>(call->zeros)});
-    std::memcpy(to, kZeros.data() + at, out.size);
+  if (call->zeros > 0) {
+    // `zeros` is the rest of a whole number of messages, which gives the position within the present one.
+    const auto at = static_cast<std::size_t>((kZeroMessage.size() - call->zeros % kZeroMessage.size()) %
+                                             kZeroMessage.size());
+    out.size = std::min({most, kZeroMessage.size() - at, static_cast<std::size_t>(call->zeros)});
+    std::memcpy(to, kZeroMessage.data() + at, out.size);
     call->zeros -= out.size;
     if (call->zeros > 0) return out;
   } else {
-    out = pull(call->body, call->sent, to, most);
+    out = copyNext(call->body, call->sent, to, most);
     if (call->sent < call->body.size()) return out;
     if (!call->ended) {
       out.then = http2::Pulled::Then::wait;
@@ -118,13 +124,14 @@
 void GrpcStandIn::onGone(http2::Session& session, net::ConnectionEnd) {
   const auto at = peers_.find(&session);
   if (at == peers_.end()) return;
+  // The session calls this: it must outlive the call.
   const std::shared_ptr<Peer> peer = std::move(at->second);
   peers_.erase(at);
   loop_.soon([peer] {});
 }
 
 GrpcClient::GrpcClient(net::Loop& loop, const std::string& address) : loop_(loop), address_(address) {
-  session_ = http2::Session::connect(loop, Poco::Net::SocketAddress(address), 1'000'000'000, {}, *this);
+  session_ = http2::Session::connect(loop, Poco::Net::SocketAddress(address), kConnectTimeout, {}, *this);
 }
 
 void GrpcClient::call(const std::string& path, const std::string& body, const calls::Fields& metadata,
@@ -138,13 +145,13 @@
   head.insert(head.end(), metadata.begin(), metadata.end());
   const auto id = session_->request(head, false);
   if (id < 0) return done({});
-  open_[id] = {prefixed(body), {}, 0, loop_.now(), std::move(done)};
+  openCalls_[id] = {lengthPrefixed(body), {}, 0, loop_.now(), std::move(done)};
 }
 
 http2::Pulled GrpcClient::onPull(http2::Session&, http2::StreamId id, char* to, std::size_t most) {
-  const auto at = open_.find(id);
-  if (at == open_.end()) return {0, http2::Pulled::Then::end, {}};
-  auto out = pull(at->second.request, at->second.sent, to, most);
+  const auto at = openCalls_.find(id);
+  if (at == openCalls_.end()) return {0, http2::Pulled::Then::end, {}};
+  auto out = copyNext(at->second.request, at->second.sent, to, most);
   if (at->second.sent == at->second.request.size()) out.then = http2::Pulled::Then::end;
   return out;
 }
@@ -154,7 +161,7 @@
 }
 
 void GrpcClient::onData(http2::Session& session, http2::StreamId id, std::string_view bytes) {
-  if (const auto at = open_.find(id); at != open_.end()) at->second.response.append(bytes);
+  if (const auto at = openCalls_.find(id); at != openCalls_.end()) at->second.response.append(bytes);
   session.consume(id, bytes.size());
 }
 
@@ -162,22 +169,22 @@
 void GrpcClient::onClosed(http2::Session&, http2::StreamId id, std::uint32_t) { finish(id, {}); }
 
 void GrpcClient::onGone(http2::Session&, net::ConnectionEnd) {
-  while (!open_.empty()) finish(open_.begin()->first, {});
+  while (!openCalls_.empty()) finish(openCalls_.begin()->first, {});
 }
 
 void GrpcClient::finish(http2::StreamId id, const calls::Fields& trailers) {
-  const auto at = open_.find(id);
-  if (at == open_.end()) return;
-  const Open open = std::move(at->second);
-  open_.erase(at);
+  const auto at = openCalls_.find(id);
+  if (at == openCalls_.end()) return;
+  const OpenCall call = std::move(at->second);
+  openCalls_.erase(at);
   Reply reply;
   if (const auto code = calls::readCode(calls::find(trailers, "grpc-status").value_or("")))
     reply.status = static_cast<int>(*code);
   reply.message = calls::find(trailers, "grpc-message").value_or("");
   reply.trailers = trailers;
-  reply.body = open.response.substr(std::min(kPrefix, open.response.size()));
-  reply.took = loop_.now() - open.startedAt;
-  open.done(reply);
+  reply.body = call.response.substr(std::min(kPrefixBytes, call.response.size()));
+  reply.took = loop_.now() - call.startedAt;
+  call.done(reply);
 }
 
 }  // namespace topazweir::lab
--- a/src/lab/grpc_stand_in.hpp
+++ b/src/lab/grpc_stand_in.hpp
@@ -1,4 +1,5 @@
-// A gRPC server and a client of the lab's own, on the loop: small, and without a library of protobuf or gRPC.
+// A fake gRPC server and client on the event loop, on http2::Session alone, without a protobuf or gRPC
+// library.
 #pragma once
 
 #include <Poco/Net/ServerSocket.h>
@@ -14,23 +15,24 @@
 
 namespace topazweir::lab {
 
-// Sends each message back, and its name in the trailer "x-server". In the metadata a call may ask for more:
-// "x-bytes": that many zeros in messages of 64 KiB instead; "x-open": the answer begins at once and ends with
-// the request.
+// An echo server: returns the messages of each call, and its name in the trailer "x-server". Request metadata
+// can ask for another response. "x-bytes": that many zeros, rounded down to messages of 64 KiB, in place of
+// the echo. "x-open": the response starts at once, echoes as data arrives and ends with the request.
 class GrpcStandIn : private http2::Session::Handler {
  public:
   GrpcStandIn(net::Loop& loop, std::string name);
   ~GrpcStandIn() override;
   std::string address() const { return listener_.address().toString(); }
   std::uint64_t calls() const { return calls_; }
-  Nanos delay = 0;  // before the answer
+  Nanos delay = 0;  // from the end of a request to its response
 
  private:
   struct Call {
-    std::string body;
-    std::size_t sent = 0;
-    std::uint64_t zeros = 0;  // still to be sent in place of the body
-    bool open = false, ended = false;
+    std::string body;         // the request's, with message prefixes
+    std::size_t sent = 0;     // bytes of the body that have been echoed
+    std::uint64_t zeros = 0;  // bytes still to be sent in place of the body
+    bool open = false;        // of an "x-open" call
+    bool ended = false;       // the request is complete
   };
   struct Peer {
     std::unique_ptr<http2::Session> session;
@@ -52,25 +54,28 @@
   std::uint64_t calls_ = 0;
 };
 
-// Unary calls over one connection.
+// A client that makes unary calls over one connection.
 class GrpcClient : private http2::Session::Handler {
  public:
   struct Reply {
-    int status = -1;  // grpc-status; below 0: none came
-    std::string message, body;
+    int status = -1;      // grpc-status; negative: none was received
+    std::string message;  // grpc-message
+    std::string body;     // without the message prefix
     calls::Fields trailers;
-    Nanos took = 0;
+    Nanos took = 0;  // from the call to its end
   };
   using Done = std::function<void(const Reply&)>;
 
   GrpcClient(net::Loop& loop, const std::string& address);
-  // `body`: one message, without its prefix.
+  // Calls `path` with the one message `body` (without its prefix). `done` is called exactly once, also if the
+  // connection is lost.
   void call(const std::string& path, const std::string& body, const calls::Fields& metadata, Done done);
 
  private:
-  struct Open {
-    std::string request, response;
-    std::size_t sent = 0;
+  struct OpenCall {
+    std::string request;
+    std::string response;
+    std::size_t sent = 0;  // bytes of the request
     Nanos startedAt = 0;
     Done done;
   };
@@ -85,10 +90,10 @@
   net::Loop& loop_;
   std::string address_;
   std::unique_ptr<http2::Session> session_;
-  std::map<http2::StreamId, Open> open_;
+  std::map<http2::StreamId, OpenCall> openCalls_;
 };
 
-// A message with the prefix of PROTOCOL-HTTP2.md, "Length-Prefixed-Message".
-std::string prefixed(const std::string& body);
+// An uncompressed message with its 5-byte prefix (gRPC's PROTOCOL-HTTP2.md, "Length-Prefixed-Message").
+std::string lengthPrefixed(const std::string& body);
 
 }  // namespace topazweir::lab
--- a/src/lab/stand_in.hpp
+++ b/src/lab/stand_in.hpp
@@ -1,4 +1,5 @@
-// Small stand-ins for the outside: a server with a fault to show, and a client that notes what it is told.
+// Fakes for tests and demos: a TCP server that can show a fault (a node, an OGC API Features server or a
+// discovery agent), and an HTTP client that records the response.
 #pragma once
 
 #include <Poco/Net/ServerSocket.h>
@@ -17,23 +18,37 @@
 
 namespace topazweir::lab {
 
-// noise: what no reader understands. endless: an answer that begins and never ends. extra: noise behind a
-// good answer. twice: the answer, and the same again.
-enum class Fault { none, silent, cutHalfway, rejects, errs, slow, noise, endless, extra, twice };
+// What a fake server does wrong with each request.
+enum class Fault {
+  none,
+  silent,      // never answers
+  cutHalfway,  // closes the connection after half of the response
+  rejects,     // answers that it is overloaded
+  errs,        // answers with an error
+  slow,        // answers after StandIn::kSlow
+  noise,       // sends bytes that do not parse
+  endless,     // starts a response and never completes it
+  extra,       // sends garbage after a good response
+  twice        // sends the response twice
+};
 
-// What a kind of server says: takes one request off the input and returns the reply to it.
+// The protocol of a fake server.
 struct Speaker {
   virtual ~Speaker() = default;
+  // Consumes one request from the input and returns the response; nothing while the input holds no whole
+  // request.
   virtual std::optional<std::string> reply(std::string& input, Fault fault) = 0;
 };
 
-// An address that nobody listens on, nor shares.
+// A loopback address with a port that is free at present.
 inline std::string freeAddress() {
   Poco::Net::ServerSocket socket;
   socket.bind(Poco::Net::SocketAddress("127.0.0.1", 0), true, false);
   return socket.address().toString();
 }
 
+// A TCP server on a free loopback port that answers as `speaker` does, with the given fault. Lives on the
+// loop's thread.
 class StandIn : net::Connection::Owner {
  public:
   StandIn(net::Loop& loop, Speaker& speaker, Fault fault) : loop_(loop), speaker_(speaker), fault_(fault) {
@@ -44,11 +59,11 @@
   }
   ~StandIn() override { loop_.removeEventHandler(listener_, observer()); }
   std::string address() const { return listener_.address().toString(); }
-  Fault& fault() { return fault_; }
+  Fault& fault() { return fault_; }  // may be changed at any time
   int requests() const { return requests_; }
 
  private:
-  static constexpr Nanos kSlow = 300'000'000;
+  static constexpr Nanos kSlow = 300'000'000;  // delay of Fault::slow
   Poco::Observer<StandIn, Poco::Net::ReadableNotification> observer() { return {*this, &StandIn::onAccept}; }
   void onAccept(Poco::Net::ReadableNotification* event) {
     event->release();
@@ -80,8 +95,9 @@
   int requests_ = 0;
 };
 
+// A node of the platform protocol: answers each send frame and skips all others.
 struct NodeSpeaker : Speaker {
-  // A whole frame; the report is one that cannot be read, which spoils nothing.
+  // A complete answer frame. Its load report is malformed, which must not affect the answer.
   static std::string answer(const std::string& partId, const std::string& end = "done") {
     const std::string body = "R" + partId + " " + end + " 7 \xff,= ?\nvalue";
     return std::string("\0\0\0", 3) + static_cast<char>(body.size()) + body;
@@ -109,11 +125,12 @@
   return http::writeHead(response, false) + body;
 }
 
-// Two pages; the second one's target holds "page=2".
+// A server of OGC API Features with two pages of one feature each. The target of the second contains
+// "page=2".
 struct FeatureSpeaker : Speaker {
-  std::string next = "/collections/branches/items?page=2";  // of the first page
+  std::string next = "/collections/branches/items?page=2";  // link to the second page; empty: no link
   std::string second = R"({"type":"FeatureCollection","features":[{"type":"Feature","id":"b"}]})";
-  bool cutSecond = false;
+  bool cutSecond = false;  // the second page is truncated
 
   std::optional<std::string> reply(std::string& input, Fault fault) override {
     http::Parser parser(http::Side::request);
@@ -122,14 +139,15 @@
     parser.next(input);
     if (fault == Fault::noise) return std::string(40, '\xfe') + "\r\n\r\n";
     if (fault == Fault::endless) return "HTTP/1.1 200 OK\r\nX: ";
-    if (fault == Fault::extra) return whole(target) + std::string(40, '\xfe');
-    if (fault == Fault::twice) return whole(target) + whole(target);
+    if (fault == Fault::extra) return respond(target) + std::string(40, '\xfe');
+    if (fault == Fault::twice) return respond(target) + respond(target);
     if (fault == Fault::rejects) return httpReply(503, "");
     if (fault == Fault::errs) return httpReply(500, "");
-    return whole(target);
+    return respond(target);
   }
 
-  std::string whole(const std::string& target) const {
+  // The response without a fault.
+  std::string respond(const std::string& target) const {
     if (target.find("/items?") == std::string::npos)
       return target.find("/items/b") != std::string::npos ? httpReply(200, R"({"type":"Feature","id":"b"})")
                                                           : httpReply(404, "");
@@ -143,9 +161,9 @@
   }
 };
 
-// An agent of discovery: answers each watch with one list and leaves it open.
+// A discovery agent: answers each watch with one server list and leaves the response open.
 struct AgentSpeaker : Speaker {
-  std::string list;
+  std::string list;  // JSON, one line
   std::optional<std::string> reply(std::string& input, Fault) override {
     http::Parser parser(http::Side::request);
     if (parser.parse(input) != http::Parser::Progress::complete) return std::nullopt;
@@ -156,21 +174,25 @@
   }
 };
 
-// Sends one request and ends the loop with its answer.
+// An HTTP client that sends one request and then stops the loop.
 class Client : net::Connection::Owner {
  public:
   Client(net::Loop& loop, const std::string& address, std::string request)
       : loop_(loop), request_(std::move(request)), startedAt_(loop.now()) {
-    connection_ = net::Connection::connect(loop, Poco::Net::SocketAddress(address), 1'000'000'000, *this);
+    connection_ = net::Connection::connect(loop, Poco::Net::SocketAddress(address), kConnectTimeout, *this);
   }
   bool done() const { return done_; }
-  int status = 0;  // 0: the connection ended without a whole answer
-  std::string body, retryAfter;
-  bool keeps = false;  // the connection may be used again
-  Nanos took = 0, endedAt = 0;
-  bool stopsLoop = true;
+  int status = 0;  // 0: the connection ended without a complete response
+  std::string body;
+  std::string retryAfter;  // the Retry-After header
+  bool keeps = false;      // the connection is kept alive
+  Nanos took = 0;          // from the constructor to the end
+  Nanos endedAt = 0;
+  bool stopsLoop = true;  // when done
 
  private:
+  static constexpr Nanos kConnectTimeout = 1'000'000'000;
+
   void onUp(net::Connection& c) override { c.write(request_); }
   void onData(net::Connection& c) override {
     if (parser_.parse(c.input()) != http::Parser::Progress::complete) return;
--- a/src/lab/virtual_clock.hpp
+++ b/src/lab/virtual_clock.hpp
@@ -1,4 +1,4 @@
-// A clock that goes from one event to the next: for members and voters that run without sockets.
+// A virtual clock with an event queue, for simulations of members and voters without sockets or real time.
 #pragma once
 
 #include <algorithm>
@@ -12,8 +12,10 @@
 
 class VirtualClock {
  public:
-  void after(Nanos wait, std::function<void()> what) { events_.emplace(now + wait, std::move(what)); }
-  // Events of the same moment come in the order in which they were planned.
+  // Schedules a call `wait` after the present time.
+  void after(Nanos wait, std::function<void()> action) { events_.emplace(now + wait, std::move(action)); }
+  // Advances the clock by `time` and runs the events that come due, those of the same time in the order in
+  // which they were scheduled.
   void run(Nanos time) {
     const Nanos end = now + time;
     while (!events_.empty() && events_.begin()->first <= end) {
@@ -25,10 +27,10 @@
     now = end;
   }
 
-  Nanos now = 1'000'000'000'000;
+  Nanos now = 1'000'000'000'000;  // only run() changes it
 
  private:
-  std::multimap<Nanos, std::function<void()>> events_;
+  std::multimap<Nanos, std::function<void()>> events_;  // by due time
 };
 
 }  // namespace topazweir::lab
