--- a/src/lab/grpc_stand_in.cpp
+++ b/src/lab/grpc_stand_in.cpp
@@ -11,7 +11,6 @@
 
 constexpr std::size_t kPrefixBytes = 5;  // a flag and a 32-bit length
 constexpr Nanos kConnectTimeout = 1'000'000'000;
-
 constexpr int kMaxStreams = 10'000;
 constexpr int kWindowBytes = 1024 * 1024;
 
--- a/src/lab/grpc_stand_in.hpp
+++ b/src/lab/grpc_stand_in.hpp
@@ -67,8 +67,8 @@
   using Done = std::function<void(const Reply&)>;
 
   GrpcClient(net::Loop& loop, const std::string& address);
-  // Calls `path` with the one message `body` (without its prefix). `done` is called exactly once, also if the
-  // connection is lost.
+  // Calls `path` with the one message `body` (without its prefix). `done` is called exactly once, with a
+  // status of -1 if the connection is lost.
   void call(const std::string& path, const std::string& body, const calls::Fields& metadata, Done done);
 
  private:
--- a/src/lab/membership_experiment.cpp
+++ b/src/lab/membership_experiment.cpp
@@ -15,11 +15,13 @@
 
 using membership::State;
 constexpr Nanos kSec = VirtualFleet::kSec;
+constexpr int kDetectionLimitSeconds = 120;  // longer detections are cut off and reported as this
 
 int brokenClaims = 0;
 
-void claim(bool holds, const std::string& what) {
-  fmt::print("{} {}\n", holds ? "holds: " : "BROKEN:", what);
+// Prints a claim and whether it holds, and counts those that do not.
+void claim(bool holds, const std::string& text) {
+  fmt::print("{} {}\n", holds ? "holds: " : "BROKEN:", text);
   brokenClaims += !holds;
 }
 
@@ -31,14 +33,13 @@
 }
 
 // Seconds from the kill of a member until the first and until the last of the others sees it as failed, by
-// trial. kTimeLimit: not within that time.
+// trial.
 struct DetectionTimes {
   std::vector<double> first;
   std::vector<double> all;
 };
 
 DetectionTimes measureDetection(int members, int trials, std::uint64_t seed) {
-  constexpr int kTimeLimit = 120;
   DetectionTimes out;
   for (int trial = 0; trial < trials; ++trial) {
     VirtualFleet fleet(members, seed + static_cast<std::uint64_t>(trial));
@@ -50,10 +51,10 @@
         detectedAfter.push_back(static_cast<double>(fleet.now - killedAt) / 1e9);
     };
     fleet.kill(victim);
-    for (int s = 0; s < kTimeLimit && static_cast<int>(detectedAfter.size()) < members - 1; ++s)
+    for (int s = 0; s < kDetectionLimitSeconds && static_cast<int>(detectedAfter.size()) < members - 1; ++s)
       fleet.run(kSec);
-    out.first.push_back(detectedAfter.empty() ? kTimeLimit : detectedAfter.front());
-    out.all.push_back(static_cast<int>(detectedAfter.size()) < members - 1 ? kTimeLimit
+    out.first.push_back(detectedAfter.empty() ? kDetectionLimitSeconds : detectedAfter.front());
+    out.all.push_back(static_cast<int>(detectedAfter.size()) < members - 1 ? kDetectionLimitSeconds
                                                                            : detectedAfter.back());
   }
   return out;
@@ -79,20 +80,22 @@
 double falseVerdicts(double loss, bool stalled, bool lifeguard, std::uint64_t seed) {
   constexpr int kMembers = 30;
   constexpr int kRuns = 3;
-  constexpr Nanos kTime = 300 * kSec;
+  constexpr Nanos kRunTime = 300 * kSec;
+  constexpr Nanos kStallInterval = 30 * kSec;
+  constexpr Nanos kStallTime = 5 * kSec;
   int sum = 0;
   for (int run = 0; run < kRuns; ++run) {
     membership::Settings settings;
     settings.lifeguard = lifeguard;
     VirtualFleet fleet(kMembers, seed + static_cast<std::uint64_t>(run), settings);
     fleet.loss = loss;
-    for (Nanos at = 0; at < kTime; at += 30 * kSec) {
-      for (int i = 0; stalled && i < kMembers; i += 10) fleet.stall(i, 5 * kSec);
-      fleet.run(30 * kSec);
+    for (Nanos at = 0; at < kRunTime; at += kStallInterval) {
+      for (int i = 0; stalled && i < kMembers; i += 10) fleet.stall(i, kStallTime);
+      fleet.run(kStallInterval);
     }
     sum += fleet.falseVerdicts;
   }
-  return sum * 3600.0 / (kRuns * static_cast<double>(kTime) / 1e9);
+  return sum * 3600.0 / (kRuns * static_cast<double>(kRunTime) / 1e9);
 }
 
 // The baseline, false verdicts per hour of all-to-all heartbeats: each of 30 members sends to all others each
