--- a/src/cli/inspect.cpp
+++ b/src/cli/inspect.cpp
@@ -43,7 +43,7 @@
   std::size_t width = 0;
   for (const auto& s : file.settings) width = std::max(width, s.path.size());
   for (const auto& s : file.settings)
-    out << fmt::format("{:<{}} = {}{}\n", s.path, width, s.value, s.given ? "" : "  # default");
+    out << fmt::format("{:<{}} = {}{}\n", s.path, width, s.value, s.isExplicit ? "" : "  # default");
   out << fmt::format("# {}: valid; parts:{}{}{}{}\n", options.file, file.features ? " features" : "",
                      file.grpc ? " grpc" : "", file.snmp ? " snmp" : "",
                      file.membership ? " membership" : "");
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -1,3 +1,4 @@
+// Reading of the platform's JSON configuration.
 #include "config/config.hpp"
 
 #include <algorithm>
@@ -11,18 +12,21 @@
 
 namespace {
 
-constexpr std::int64_t kMany = 1'000'000;
-constexpr Nanos kSecond = 1'000'000'000, kLongest = 30 * 24 * 3600 * kSecond;  // such as a window for repeats
+constexpr std::int64_t kMaxCount = 1'000'000;
+constexpr Nanos kSecond = 1'000'000'000;
+constexpr Nanos kMaxDurationNs = 30 * 24 * 3600 * kSecond;  // 30 days, such as for an idempotency window
+// A request's deadline may be up to this multiple of the longest deadline of the classes.
+constexpr Nanos kMaxDeadlineFactor = 10;
 
-Nanos time(const Reader& json, std::string_view path, Nanos absent) {
-  return json.integer(path, 0, kLongest, absent);
+Nanos duration(const Reader& json, std::string_view path, Nanos defaultValue) {
+  return json.integer(path, 0, kMaxDurationNs, defaultValue);
 }
 
-QueryClass readClass(const Reader& settings, const Reader& profile, std::size_t at) {
+QueryClass readClass(const Reader& settings, const Reader& profile, std::size_t index) {
   QueryClass c;
   c.name = profile.text("name");
-  c.aim = profile.integer("aimNs", 1, kLongest);
-  c.deadline = profile.integer("deadlineNs", 1, kLongest);
+  c.aim = profile.integer("aimNs", 1, kMaxDurationNs);
+  c.deadline = profile.integer("deadlineNs", 1, kMaxDurationNs);
   c.worth = profile.number("value", 0, 1e9, 1);
   c.lateWorth = profile.number("lateWorth", 0, 1, 0);
   const auto effect = profile.text("semantics", "repeatable");
@@ -33,12 +37,12 @@
   } else if (effect != "repeatable") {
     profile.fail("semantics", "not repeatable, by_key or once");
   }
-  c.keyedWindow = time(profile, "windowNs", 0);
-  c.need = settings.listed("familyInfo.needByClass", at, 1);
-  c.floor = settings.listed("familyInfo.minShare", at, 1);
-  c.partialWorth = settings.listed("familyInfo.classPartial", at, 0);
-  c.secondStepParts = static_cast<int>(settings.listed("familyInfo.fetchParts", at, 0));
-  if (c.secondStepParts != 0) settings.fail("familyInfo.fetchParts", "second steps are not served");
+  c.keyedWindow = duration(profile, "windowNs", 0);
+  c.need = settings.listed("familyInfo.needByClass", index, 1);
+  c.floor = settings.listed("familyInfo.minShare", index, 1);
+  c.partialWorth = settings.listed("familyInfo.classPartial", index, 0);
+  c.secondStepParts = static_cast<int>(settings.listed("familyInfo.fetchParts", index, 0));
+  if (c.secondStepParts != 0) settings.fail("familyInfo.fetchParts", "second steps are not supported");
   return c;
 }
 
@@ -52,36 +56,36 @@
 }
 
 Settings readSettings(const Reader& json) {
-  const auto small = [&](std::string_view path, std::int64_t least, std::int64_t absent) {
-    return static_cast<int>(json.integer(path, least, kMany, absent));
+  const auto count = [&](std::string_view path, std::int64_t min, std::int64_t defaultValue) {
+    return static_cast<int>(json.integer(path, min, kMaxCount, defaultValue));
   };
   Settings s;
-  s.zone = small("az", 0, 0);
-  s.aggregators = small("balancers", 1, 1);
-  s.number = small("selfIndex", 0, 0);
-  s.tick = time(json, "tickNs", 5'000'000);
-  s.shards = static_cast<int>(json.integer("familyInfo.slabs", 1, kMany));
-  s.cells = small("familyInfo.sets", 1, 1);
-  s.reach = small("familyInfo.reach", 1, 1);
-  s.partsPerCall = small("familyInfo.partsACall", 1, 1);
-  s.callOverhead = time(json, "familyInfo.overheadNs", 0);
-  s.maxAttempts = small("limits.maxAttempts", 1, 1);
+  s.zone = count("az", 0, 0);
+  s.aggregators = count("balancers", 1, 1);
+  s.number = count("selfIndex", 0, 0);
+  s.tick = duration(json, "tickNs", 5'000'000);
+  s.shards = static_cast<int>(json.integer("familyInfo.slabs", 1, kMaxCount));
+  s.cells = count("familyInfo.sets", 1, 1);
+  s.reach = count("familyInfo.reach", 1, 1);
+  s.partsPerCall = count("familyInfo.partsACall", 1, 1);
+  s.callOverhead = duration(json, "familyInfo.overheadNs", 0);
+  s.maxAttempts = count("limits.maxAttempts", 1, 1);
   s.secondCopies = json.flag("limits.secondCopies", false);
   s.cancelling = json.flag("limits.cancelling", false);
   s.repeatsMarked = json.flag("clients.marksRetry", true);
   s.retryAfter = json.flag("limits.retryAfter", false);
-  s.maxRetryAfter = time(json, "limits.maxRetryAfterNs", 2 * kSecond);
-  s.answerSlack = time(json, "guarantees.graceToAnswerNs", 0);
+  s.maxRetryAfter = duration(json, "limits.maxRetryAfterNs", 2 * kSecond);
+  s.answerSlack = duration(json, "guarantees.graceToAnswerNs", 0);
   s.coldFrom = json.number("guarantees.coldFrom", 0, 1, 1);
-  s.coldFor = time(json, "guarantees.coldNs", 0);
+  s.coldFor = duration(json, "guarantees.coldNs", 0);
   s.tipMultiple = json.number("guarantees.tipMultiple", 0, 1e9, 0);
-  s.tipWindow = time(json, "guarantees.overloadForNs", 0);
-  s.drainGrace = time(json, "guarantees.drainGraceNs", 0);
+  s.tipWindow = duration(json, "guarantees.overloadForNs", 0);
+  s.drainGrace = duration(json, "guarantees.drainGraceNs", 0);
   s.wastePrice = json.number("tariffs.waste", 0, 1e9, 0);
   s.lateFailPrice = json.number("tariffs.lateFail", 0, 1e9, 0);
   s.crossZonePrice = json.number("tariffs.crossZone", 0, 1e9, 0);
   if (json.find("guarantees.countedOverNs") != nullptr)
-    s.budget = AttemptBudget{json.integer("guarantees.countedOverNs", 1, kLongest),
+    s.budget = AttemptBudget{json.integer("guarantees.countedOverNs", 1, kMaxDurationNs),
                              json.number("guarantees.minExtra", 0, 1e9, 0),
                              json.number("guarantees.extraRatio", 0, 1e9, 0)};
   for (const auto& profile : json.objects("profiles"))
@@ -107,33 +111,34 @@
   out.listen = json.address("listen");
   out.discovery = json.address("discovery");
   if (json.find("ops") != nullptr) out.ops = json.address("ops");
-  out.sockets = static_cast<std::size_t>(json.integer("limits.sockets", 32, kMany, 1024));
+  out.sockets = static_cast<std::size_t>(json.integer("limits.sockets", 32, kMaxCount, 1024));
   out.known = jsonMember(text, "known");
-  const auto part = json.object("settings");
-  if (!part) json.fail("settings", "missing or not an object");
-  const Reader& settings = *part;
+  const auto settingsObject = json.object("settings");
+  if (!settingsObject) json.fail("settings", "missing or not an object");
+  const Reader& settings = *settingsObject;
   out.terms.settings = readSettings(settings);
   out.terms.settings.seed = readSeed(json);
-  out.terms.maxOpen = static_cast<std::size_t>(settings.integer("limits.maxOpen", 0, kMany, 0));
+  out.terms.maxOpen = static_cast<std::size_t>(settings.integer("limits.maxOpen", 0, kMaxCount, 0));
   out.terms.overShareWorth = settings.number("overShareWorth", 0, 1, 1);
   for (const auto& realm : settings.objects("realms"))
     out.terms.contracts.push_back(
         {realm.text("name"), realm.number("share", 0, 1, 0), realm.number("quotaPerS", 0, 1e9, 0)});
   for (const auto& c : out.terms.settings.classes)
-    out.terms.longestDeadline = std::max(out.terms.longestDeadline, 10 * c.deadline);
+    out.terms.longestDeadline = std::max(out.terms.longestDeadline, kMaxDeadlineFactor * c.deadline);
   out.zones = settings.texts("localities");
   out.pushed = settings.text("discovery", "on_request") == "pushed";
-  out.streamsPerConnection = static_cast<std::size_t>(settings.integer("limits.streamsPerConn", 1, kMany, 1));
-  out.connectTimeout = settings.integer("limits.connectTimeoutNs", 1, kLongest, kSecond / 4);
-  out.connectionIdle = time(settings, "limits.connIdleNs", 30 * kSecond);
+  out.streamsPerConnection =
+      static_cast<std::size_t>(settings.integer("limits.streamsPerConn", 1, kMaxCount, 1));
+  out.connectTimeout = settings.integer("limits.connectTimeoutNs", 1, kMaxDurationNs, kSecond / 4);
+  out.connectionIdle = duration(settings, "limits.connIdleNs", 30 * kSecond);
   return out;
 }
 
 std::vector<std::string> keepUntilRestart(const Config& running, Config& fresh) {
   std::vector<std::string> keys;
-  const auto keep = [&](const char* key, const auto& old, auto& now) {
-    if (old == now) return;
-    now = old;
+  const auto keep = [&](const char* key, const auto& runningValue, auto& freshValue) {
+    if (runningValue == freshValue) return;
+    freshValue = runningValue;
     keys.emplace_back(key);
   };
   keep("name", running.name, fresh.name);
@@ -141,17 +146,19 @@
   keep("ops", running.ops, fresh.ops);
   keep("settings.localities", running.zones, fresh.zones);
   keep("settings.discovery", running.pushed, fresh.pushed);
-  const auto names = [](const Config& config) {
+  const auto tenantNames = [](const Config& config) {
     std::vector<std::string> out;
     for (const auto& contract : config.terms.contracts) out.push_back(contract.tenant);
     return out;
   };
-  if (names(running) != names(fresh)) {
+  if (tenantNames(running) != tenantNames(fresh)) {
     fresh.terms.contracts = running.terms.contracts;
     keys.emplace_back("settings.realms.name");
   }
-  // The module is built from these, and what it has learned is worth more than a new start.
-  fresh.terms.settings.seed = running.terms.settings.seed;  // each file brings another: for starts only
+  // Every file has another seed, which is meant for process starts only.
+  fresh.terms.settings.seed = running.terms.settings.seed;
+  // The decision module is constructed from these settings. Rebuilding it would lose what it has learned
+  // about the servers.
   keep("settings (of the decisions)", running.terms.settings, fresh.terms.settings);
   fresh.terms.longestDeadline = running.terms.longestDeadline;
   return keys;
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -1,4 +1,5 @@
-// The one place where configuration is read, checked and given defaults. Errors name the faulty key.
+// The platform's configuration: the JSON file that NODE_CONFIG or --config names. All reading, checking and
+// defaulting of configuration is done in this folder; errors name the faulty key.
 #pragma once
 
 #include <optional>
@@ -11,28 +12,33 @@
 
 namespace topazweir::config {
 
+// The platform's settings, checked, with defaults filled in. Durations are nanoseconds.
 struct Config {
-  std::string name;
-  std::string listen, discovery;  // address:port
-  std::string ops;                // the same, for operators' calls; empty: none are taken
-  std::size_t sockets = 1024;     // descriptors that the process may hold
+  std::string name;            // of this process, in log lines
+  std::string listen;          // address:port for clients
+  std::string discovery;       // address:port of the discovery service
+  std::string ops;             // address:port for operators' calls; empty: not served
+  std::size_t sockets = 1024;  // limit on the file descriptors that the process may hold
   broker::Terms terms;
-  std::vector<std::string> zones;
-  bool pushed =
-      false;  // lists come to an agent beside the program, which answers at once; else one service is asked
+  std::vector<std::string> zones;  // zone names; the index is the zone's number
+  // Discovery is a local agent that server lists are pushed to and that answers at once. Otherwise one
+  // discovery service is asked by all aggregators.
+  bool pushed = false;
   std::size_t streamsPerConnection = 1;
-  Nanos connectTimeout = 0, connectionIdle = 0;
-  std::optional<int> listener;  // descriptor of the clients' listening socket, where the platform holds it
-  std::string known;            // the list of nodes as last known, in discovery's form; empty: none
+  Nanos connectTimeout = 0;
+  Nanos connectionIdle = 0;     // idle timeout of connections to nodes
+  std::optional<int> listener;  // listening socket inherited from the platform, as a file descriptor
+  std::string known;            // last known node list, as JSON in discovery's format; empty: none
 };
 
-// The platform's configuration. Throws ConfigError.
+// Parses the platform's JSON configuration. Throws ConfigError.
 Config read(std::string_view json);
 
-// The keys in which a fresh configuration differs from the running one and that only a restart applies; as
-// the rest of `fresh` is applied, they are set back in it to what is running.
+// Returns the keys whose values differ between `running` and `fresh` and take effect only after a restart.
+// In `fresh` these are reset to the running values, so that the rest of it can be applied.
 std::vector<std::string> keepUntilRestart(const Config& running, Config& fresh);
 
+// Returns the whole content of a file. Throws ConfigError if it cannot be read.
 std::string readFile(const std::string& path);
 
 }  // namespace topazweir::config
--- a/src/config/features_config.cpp
+++ b/src/config/features_config.cpp
@@ -1,3 +1,4 @@
+// Reading of the OGC front's configuration.
 #include "config/features_config.hpp"
 
 #include <algorithm>
@@ -10,6 +11,8 @@
 namespace {
 
 constexpr Nanos kMs = 1'000'000;
+constexpr double kLateWorth = 0.3;     // share of the worth that an answer keeps after its aim
+constexpr double kPartialWorth = 0.8;  // worth of a partial answer, by its share of the groups
 
 FeatureServer readServer(const Reader& json) {
   FeatureServer server{json.address("address"), ServerState::up};
@@ -17,6 +20,7 @@
   return server;
 }
 
+// Whether `id` can stand in a URL path without percent-encoding.
 bool isPathSegment(std::string_view id) {
   return !id.empty() && std::all_of(id.begin(), id.end(), [](char c) {
     return (c >= '0' && c <= '9') || (c >= 'A' && c <= 'Z') || (c >= 'a' && c <= 'z') || c == '-' ||
@@ -30,34 +34,38 @@
   return static_cast<ServerState>(json.choice("state", {"ready", "draining", "gone"}, 0));
 }
 
-Settings settingsFor(const Settings& rules, int shards) {
-  Settings s = rules;
-  s.shards = s.cells = shards;
-  s.reach = s.partsPerCall = 1;
-  s.callOverhead = s.coldFor = s.tipWindow = 0;
+Settings settingsFor(const Settings& platformSettings, int shards) {
+  Settings s = platformSettings;
+  s.shards = shards;
+  s.cells = shards;
+  s.reach = 1;
+  s.partsPerCall = 1;
+  s.callOverhead = 0;
+  s.coldFor = 0;
+  s.tipWindow = 0;
   s.tipMultiple = 0;
   s.retryAfter = true;
   return s;
 }
 
-Features readFeatures(std::string_view text, const Config& platform) {
+FeaturesConfig readFeatures(std::string_view text, const Config& platform) {
   const Node root = readJson(text);
   return readFeatures(Reader(root, "features."), platform);
 }
 
-Features readFeatures(const Reader& json, const Config& platform) {
-  Features out;
+FeaturesConfig readFeatures(const Reader& json, const Config& platform) {
+  FeaturesConfig out;
   out.listen = json.address("listen");
   out.title = json.text("title", "Branch locations");
   out.deadline = json.integer("deadlineMs", 10, 600'000, 2000) * kMs;
   out.pageLimit = static_cast<std::size_t>(json.integer("pageLimit", 1, 10'000, 1000));
   out.connectTimeout = json.integer("connectTimeoutMs", 1, 60'000, 250) * kMs;
-  out.sockets = static_cast<std::size_t>(json.integer("sockets", 16, 100'000, 200));
+  out.maxSockets = static_cast<std::size_t>(json.integer("sockets", 16, 100'000, 200));
   std::set<std::string> ids;
   for (const auto& c : json.objects("collections")) {
     const auto id = c.text("id");
     if (!isPathSegment(id)) c.fail("id", "not made of letters, digits, '-', '_' and '.'");
-    if (!ids.insert(id).second) c.fail("id", "named twice");
+    if (!ids.insert(id).second) c.fail("id", "duplicate collection id");
     out.collections.push_back({id, c.text("title", id), c.text("description", "")});
   }
   if (out.collections.empty()) json.fail("collections", "missing or empty");
@@ -76,9 +84,9 @@
   search.name = json.text("class", "feature-search");
   search.aim = json.integer("aimMs", 1, out.deadline / kMs, out.deadline / kMs / 2) * kMs;
   search.deadline = out.deadline;
-  search.lateWorth = 0.3;
+  search.lateWorth = kLateWorth;
   search.floor = json.number("partialFrom", 0, 1, 1);
-  search.partialWorth = 0.8;
+  search.partialWorth = kPartialWorth;
   QueryClass lookup = search;
   lookup.name += "-item";
   lookup.floor = 1;
--- a/src/config/features_config.hpp
+++ b/src/config/features_config.hpp
@@ -1,4 +1,5 @@
-// The file that switches the OGC front on: read, checked and given defaults here.
+// Configuration of the OGC API - Features front: a JSON file of its own (--features) or the block `features`
+// of the operator file.
 #pragma once
 
 #include "config/config.hpp"
@@ -7,7 +8,9 @@
 namespace topazweir::config {
 
 struct FeatureCollection {
-  std::string id, title, description;
+  std::string id;  // path segment of the collection's URL
+  std::string title;
+  std::string description;
 };
 
 struct FeatureServer {
@@ -15,34 +18,37 @@
   ServerState state = ServerState::up;
 };
 
+// Replicas that hold the same features; each group is one shard.
 struct BranchGroup {
   std::string name;
   std::vector<FeatureServer> servers;  // any of them can answer for the group
 };
 
-struct Features {
-  std::string listen;
-  std::string title;
+struct FeaturesConfig {
+  static constexpr int kSearchClass = 0;  // class index in `terms`: a page of features
+  static constexpr int kLookupClass = 1;  // class index in `terms`: a single feature; needs every group
+
+  std::string listen;  // address:port
+  std::string title;   // of the landing page and the API definition
   std::vector<FeatureCollection> collections;
   std::vector<BranchGroup> groups;
   Nanos deadline = 0;
-  std::size_t pageLimit = 0;  // features asked of a feature server at a time
+  std::size_t pageLimit = 0;  // features requested from a feature server per page
   Nanos connectTimeout = 0;
-  std::size_t sockets = 0;
-  broker::Terms terms;  // class 0: searches; class 1: a single feature, which needs every group
-
-  static constexpr int kSearch = 0, kLookup = 1;
+  std::size_t maxSockets = 0;  // limit on sockets; one half is for clients, the other for feature servers
+  broker::Terms terms;         // with the two classes kSearchClass and kLookupClass
 };
 
-// `platform`: whose rules and seed are kept. Throws ConfigError.
-Features readFeatures(std::string_view json, const Config& platform);
-Features readFeatures(const Reader& json, const Config& platform);
+// Reads the front's configuration. Decision settings and the seed are taken from `platform`. Throws
+// ConfigError.
+FeaturesConfig readFeatures(std::string_view json, const Config& platform);
+FeaturesConfig readFeatures(const Reader& json, const Config& platform);
 
-// The platform's rules and limits, for servers of our own files: each holds its shards whole, and tells
-// nothing of its starts.
-Settings settingsFor(const Settings& rules, int shards);
+// Returns `platformSettings` adapted to statically configured servers: one cell per shard, one part per call,
+// and no cold starts, since such servers do not announce when they started.
+Settings settingsFor(const Settings& platformSettings, int shards);
 
-// The key "state" of a server: ready, draining or gone.
+// Reads a server's key "state": ready (the default), draining or gone. Throws ConfigError.
 ServerState readState(const Reader& json);
 
 }  // namespace topazweir::config
--- a/src/config/grpc_config.cpp
+++ b/src/config/grpc_config.cpp
@@ -1,3 +1,4 @@
+// Reading of the block `grpc`.
 #include "config/grpc_config.hpp"
 
 #include <algorithm>
@@ -7,11 +8,16 @@
 
 namespace {
 
-constexpr std::int64_t kDay = 24 * 3600 * 1000;  // ms
-constexpr std::int64_t kMany = 1'000'000;
+constexpr std::int64_t kDayMs = 24 * 3600 * 1000;
+constexpr std::int64_t kMaxCount = 1'000'000;
+constexpr std::size_t kBatchTurnsFrom = 16;  // with more open requests than this, a pool batches its events
+constexpr Nanos kTickNs = 1'000'000;
+constexpr int kMaxAttempts = 4;     // of any route
+constexpr double kLateWorth = 0.5;  // share of the worth that an answer keeps after its aim
 
-// Metadata keys as HTTP/2 has them (RFC 9113 section 8.2): lower case, no blanks.
-void checkKey(const Reader& reader, std::string_view path, std::string_view key) {
+// Fails unless `key` is a valid metadata key: an HTTP/2 field name (RFC 9113 section 8.2) in lower case
+// without blanks.
+void checkMetadataKey(const Reader& reader, std::string_view path, std::string_view key) {
   const bool good = !key.empty() && std::all_of(key.begin(), key.end(), [](char c) {
     return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'z') || c == '-' || c == '_' || c == '.';
   });
@@ -30,38 +36,39 @@
   return b;
 }
 
-GrpcPool readPool(const Reader& r, const Settings& rules) {
+GrpcPool readPool(const Reader& r, const Settings& platformSettings) {
   GrpcPool pool;
   pool.name = r.text("name");
   pool.shards = static_cast<int>(r.integer("shards", 1, 4096, 1));
   pool.shardBy = r.text("shardBy", "");
-  if (!pool.shardBy.empty()) checkKey(r, "shardBy", pool.shardBy);
+  if (!pool.shardBy.empty()) checkMetadataKey(r, "shardBy", pool.shardBy);
   if (pool.shardBy.empty() && pool.shards > 1) r.fail("shardBy", "missing: more than one shard");
   pool.connections = static_cast<std::size_t>(r.integer("connections", 1, 1000, 2));
-  pool.streams = static_cast<std::size_t>(r.integer("streams", 1, kMany, 100));
-  pool.queue = static_cast<std::size_t>(r.integer("queue", 0, kMany, 100));
+  pool.streams = static_cast<std::size_t>(r.integer("streams", 1, kMaxCount, 100));
+  pool.queue = static_cast<std::size_t>(r.integer("queue", 0, kMaxCount, 100));
   std::set<std::string> addresses;
-  std::set<int> held;
+  std::set<int> heldShards;
   for (const auto& b : r.objects("backend")) {
     pool.backends.push_back(readBackend(b, pool));
-    if (!addresses.insert(pool.backends.back().address).second) b.fail("name", "named twice in this pool");
-    held.insert(pool.backends.back().shards.begin(), pool.backends.back().shards.end());
+    if (!addresses.insert(pool.backends.back().address).second)
+      b.fail("name", "duplicate backend in this pool");
+    heldShards.insert(pool.backends.back().shards.begin(), pool.backends.back().shards.end());
   }
   for (int s = 0; s < pool.shards; ++s)
-    if (held.count(s) == 0) r.fail("backend", "no backend holds shard " + std::to_string(s));
+    if (heldShards.count(s) == 0) r.fail("backend", "no backend holds shard " + std::to_string(s));
   pool.terms.name = pool.name;
-  pool.terms.turnsTogetherFrom = 16;
-  pool.terms.maxOpen =
-      2 * static_cast<std::size_t>(r.integer("calls", 1, kMany, 20'000));  // a call and its part
+  pool.terms.turnsTogetherFrom = kBatchTurnsFrom;
+  // A call counts twice: as a query and as its only part.
+  pool.terms.maxOpen = 2 * static_cast<std::size_t>(r.integer("calls", 1, kMaxCount, 20'000));
   Settings& s = pool.terms.settings;
-  s = settingsFor(rules, pool.shards);
+  s = settingsFor(platformSettings, pool.shards);
   s.aggregators = 1;
   s.number = 0;
-  s.tick = 1'000'000;
-  s.parallel = static_cast<double>(r.integer("parallel", 1, kMany, 64));
+  s.tick = kTickNs;
+  s.parallel = static_cast<double>(r.integer("parallel", 1, kMaxCount, 64));
   s.cancelling = true;
-  s.maxRetryAfter = r.millis("maxRetryAfterMs", 1, kDay, 2'000);
-  s.maxAttempts = 4;
+  s.maxRetryAfter = r.millis("maxRetryAfterMs", 1, kDayMs, 2'000);
+  s.maxAttempts = kMaxAttempts;
   s.secondCopies = false;
   s.classes.clear();
   return pool;
@@ -69,14 +76,14 @@
 
 calls::Match readMatch(const Reader& r) {
   calls::Match match;
-  const bool service = r.find("service") != nullptr, prefix = r.find("prefix") != nullptr;
-  if (service && prefix) r.fail("prefix", "given beside service");
+  const bool service = r.find("service") != nullptr;
+  const bool prefix = r.find("prefix") != nullptr;
+  if (service && prefix) r.fail("prefix", "cannot be combined with service");
   const auto method = r.text("method", "");
   match.service = service ? r.text("service") : r.text("prefix", "");
   if (!method.empty() && !service) r.fail("method", "given without service");
   if (method.find('/') != std::string::npos || match.service.find('/') != std::string::npos)
-    r.fail(service ? "service" : "prefix",
-           "holds a slash: the service and the method stand in keys of their own");
+    r.fail(service ? "service" : "prefix", "contains a slash: service and method are separate keys");
   match.method = method;
   match.kind = !method.empty()          ? calls::Match::Kind::method
                : service                ? calls::Match::Kind::service
@@ -86,14 +93,15 @@
   std::transform(match.authority.begin(), match.authority.end(), match.authority.begin(),
                  [](unsigned char c) { return static_cast<char>(std::tolower(c)); });
   for (auto& [key, value] : r.pairs("metadata")) {
-    checkKey(r, "metadata", key);
+    checkMetadataKey(r, "metadata", key);
     match.exact.push_back({key, value});
   }
   match.present = r.texts("metadataPresent");
-  for (const auto& key : match.present) checkKey(r, "metadataPresent", key);
+  for (const auto& key : match.present) checkMetadataKey(r, "metadataPresent", key);
   return match;
 }
 
+// Returns the statuses to retry on as a bit set, indexed by status code.
 std::uint32_t readRetryOn(const Reader& r) {
   if (r.find("retryOn") == nullptr) return calls::Policy{}.retryOn;
   std::uint32_t bits = 0;
@@ -116,22 +124,22 @@
   route.pool = static_cast<std::size_t>(at - pools.begin());
   QueryClass& c = route.limits;
   c.name = route.name;
-  c.deadline = r.millis("deadlineMs", 1, kDay, 10'000);
+  c.deadline = r.millis("deadlineMs", 1, kDayMs, 10'000);
   c.aim =
       r.millis("aimMs", 1, c.deadline / 1'000'000, std::clamp<std::int64_t>(c.deadline / 2'000'000, 1, 1000));
-  c.leastLate = r.millis("lateMs", 0, kDay, std::clamp<std::int64_t>(c.aim / 5'000'000, 1, 100));
-  c.lateWorth = 0.5;  // late is better than never: only the deadline ends a call
+  c.leastLate = r.millis("lateMs", 0, kDayMs, std::clamp<std::int64_t>(c.aim / 5'000'000, 1, 100));
+  c.lateWorth = kLateWorth;  // a late answer still has worth: only the deadline ends a call
   c.effect = static_cast<Effect>(r.choice("effect", {"safe", "keyed", "unsafe"}, 2));
-  c.keyedWindow = r.millis("keyedMs", 0, kDay, 0);
+  c.keyedWindow = r.millis("keyedMs", 0, kDayMs, 0);
   if (c.effect == Effect::keyed && c.keyedWindow == 0) r.fail("keyedMs", "missing: effect is keyed");
-  c.maxAttempts = static_cast<int>(r.integer("attempts", 1, 4, 3));
+  c.maxAttempts = static_cast<int>(r.integer("attempts", 1, kMaxAttempts, 3));
   c.copies = r.flag("hedging", false);
   if (c.copies && c.effect != Effect::safe) r.fail("hedging", "only a safe call may be sent twice at once");
-  route.policy.attemptTime = r.millis("attemptMs", 0, kDay, 0);
+  route.policy.attemptTime = r.millis("attemptMs", 0, kDayMs, 0);
   route.policy.retryOn = readRetryOn(r);
-  route.policy.replay = static_cast<std::size_t>(r.integer("replayBytes", 0, 16 * kMany, 64 * 1024));
+  route.policy.replay = static_cast<std::size_t>(r.integer("replayBytes", 0, 16 * kMaxCount, 64 * 1024));
   route.policy.message =
-      static_cast<std::size_t>(r.integer("messageBytes", 1, 2'000 * kMany, 4 * 1024 * 1024));
+      static_cast<std::size_t>(r.integer("messageBytes", 1, 2'000 * kMaxCount, 4 * 1024 * 1024));
   return route;
 }
 
@@ -140,33 +148,33 @@
 Grpc readGrpc(const Reader& r, const Config& platform) {
   Grpc out;
   out.listen = r.address("listen");
-  out.connections = static_cast<std::size_t>(r.integer("connections", 1, kMany, 256));
-  out.streams = static_cast<std::size_t>(r.integer("streams", 1, kMany, 1000));
-  out.headBytes = static_cast<std::size_t>(r.integer("headBytes", 1024, kMany, 16 * 1024));
+  out.connections = static_cast<std::size_t>(r.integer("connections", 1, kMaxCount, 256));
+  out.streams = static_cast<std::size_t>(r.integer("streams", 1, kMaxCount, 1000));
+  out.headBytes = static_cast<std::size_t>(r.integer("headBytes", 1024, kMaxCount, 16 * 1024));
   out.bufferBytes =
-      static_cast<std::size_t>(r.integer("bufferBytes", 64 * 1024, 1'000 * kMany, 32 * 1024 * 1024));
-  out.window = static_cast<int>(r.integer("windowBytes", 16 * 1024, 16 * kMany, 64 * 1024));
+      static_cast<std::size_t>(r.integer("bufferBytes", 64 * 1024, 1'000 * kMaxCount, 32 * 1024 * 1024));
+  out.window = static_cast<int>(r.integer("windowBytes", 16 * 1024, 16 * kMaxCount, 64 * 1024));
   out.connectTimeout = r.millis("connectTimeoutMs", 1, 60'000, 250);
-  out.idle = r.millis("idleMs", 100, kDay, 60'000);
-  out.drain = r.millis("drainMs", 0, kDay, 30'000);
-  out.keepalive = r.millis("keepaliveMs", 0, kDay, 300'000);
-  out.openAfter = r.millis("openAfterMs", 1, kDay, 100);
+  out.idle = r.millis("idleMs", 100, kDayMs, 60'000);
+  out.drain = r.millis("drainMs", 0, kDayMs, 30'000);
+  out.keepalive = r.millis("keepaliveMs", 0, kDayMs, 300'000);
+  out.openAfter = r.millis("openAfterMs", 1, kDayMs, 100);
   out.logCalls = r.flag("logCalls", false);
 
   std::set<std::string> names;
   for (const auto& p : r.objects("pool")) {
     out.pools.push_back(readPool(p, platform.terms.settings));
-    if (!names.insert(out.pools.back().name).second) p.fail("name", "named twice");
+    if (!names.insert(out.pools.back().name).second) p.fail("name", "duplicate name");
   }
-  if (out.pools.empty()) r.fail("pool", "missing: a pool of backends");
+  if (out.pools.empty()) r.fail("pool", "missing: at least one pool is needed");
   names.clear();
   std::vector<calls::Match> matches;
   for (const auto& route : r.objects("route")) {
     out.routes.push_back(readRoute(route, out.pools));
-    if (!names.insert(out.routes.back().name).second) route.fail("name", "named twice");
+    if (!names.insert(out.routes.back().name).second) route.fail("name", "duplicate name");
     matches.push_back(out.routes.back().match);
   }
-  if (out.routes.empty()) r.fail("route", "missing: what goes to which pool");
+  if (out.routes.empty()) r.fail("route", "missing: at least one route is needed");
   const auto table = calls::Routes::compile(matches);
   if (const auto* fault = std::get_if<std::string>(&table)) r.fail("route", *fault);
 
--- a/src/config/grpc_config.hpp
+++ b/src/config/grpc_config.hpp
@@ -1,4 +1,4 @@
-// The block that switches the gRPC front on: read, checked and given defaults here.
+// Configuration of the gRPC front: the block `grpc` of the operator file.
 #pragma once
 
 #include "calls/call.hpp"
@@ -11,43 +11,50 @@
   std::string address;  // address:port
   std::string zone;
   ServerState state = ServerState::up;
-  std::vector<int> shards;  // of its pool
+  std::vector<int> shards;  // shards of its pool that it holds
 };
 
 struct GrpcPool {
   std::string name;
   int shards = 1;
-  std::string shardBy;          // the metadata key whose value is hashed; empty: one shard
-  std::size_t connections = 2;  // to one backend, at most
-  std::size_t streams = 100;    // on one of them, if the backend allows as many
-  std::size_t queue = 100;      // calls that may wait for a stream to one backend
+  std::string shardBy;          // metadata key whose value is hashed to choose the shard; empty: one shard
+  std::size_t connections = 2;  // limit per backend
+  std::size_t streams = 100;    // limit per connection; the backend's own limit may be lower
+  std::size_t queue = 100;      // limit on calls that wait for a stream to one backend
   std::vector<GrpcBackend> backends;
-  broker::Terms terms;  // of the pool's core: a class for each route that leads here
+  broker::Terms terms;  // of the pool's broker, with one class for each route to this pool
 };
 
 struct GrpcRoute {
   std::string name;
   calls::Match match;
-  std::size_t pool = 0;
-  int queryClass = 0;  // among those of the pool
-  QueryClass limits;   // aim, deadline, effect, attempts: the route's class in the core
+  std::size_t pool = 0;  // index in Grpc::pools
+  int queryClass = 0;    // index among the classes of its pool
+  QueryClass limits;     // the route's class: aim, deadline, effect, attempts
   calls::Policy policy;
 };
 
+// The gRPC front's settings. Durations are nanoseconds.
 struct Grpc {
-  std::string listen;
-  std::size_t connections = 0;  // of clients
-  std::size_t streams = 0;      // that a client may have open on one
-  std::size_t headBytes = 0;
-  std::size_t bufferBytes = 0;  // of all calls together, each way
-  int window = 0;               // bytes of a stream that may come unread
-  Nanos connectTimeout = 0, idle = 0, drain = 0, keepalive = 0, openAfter = 0;
-  bool logCalls = false;
+  std::string listen;           // address:port
+  std::size_t connections = 0;  // limit on client connections
+  std::size_t streams = 0;      // limit on open streams per client connection
+  std::size_t headBytes = 0;    // limit on a call's header list
+  std::size_t bufferBytes = 0;  // limit on the bytes buffered for all calls, each way
+  int window = 0;               // flow-control window of a stream, in bytes
+  Nanos connectTimeout = 0;
+  Nanos idle = 0;       // idle timeout of connections to backends
+  Nanos drain = 0;      // time after which calls still open at a shutdown are cancelled
+  Nanos keepalive = 0;  // interval between keep-alive pings
+  // A call whose request stays open longer than this is treated as a stream: it has no idle timeout of its
+  // backend and is not retried.
+  Nanos openAfter = 0;
+  bool logCalls = false;  // log every call
   std::vector<GrpcPool> pools;
   std::vector<GrpcRoute> routes;
 };
 
-// `platform`: whose rules and seed are kept. Throws ConfigError.
+// Reads the block `grpc`. Decision settings and the seed are taken from `platform`. Throws ConfigError.
 Grpc readGrpc(const Reader& block, const Config& platform);
 
 }  // namespace topazweir::config
--- a/src/config/membership_config.cpp
+++ b/src/config/membership_config.cpp
@@ -1,3 +1,4 @@
+// Reading of the block `membership`.
 #include "config/membership_config.hpp"
 
 #include <algorithm>
@@ -7,26 +8,29 @@
 
 namespace {
 
-constexpr std::size_t kMostText = 64;  // bytes, on the wire (src/membership/record.hpp)
-constexpr std::int64_t kMostVoters = 7;
-constexpr std::size_t kMostRelays = 256;
-constexpr std::int64_t kMostChangeBytes = 16 * 1024 * 1024;
+constexpr std::size_t kMaxTextBytes = 64;  // limit of the wire format (src/membership/record.hpp)
+constexpr std::int64_t kMaxVoters = 7;
+constexpr std::size_t kMaxRelays = 256;
+constexpr std::int64_t kMaxChangeBytesPerSecond = 16 * 1024 * 1024;
 
-void checkWord(const Reader& reader, std::string_view key, const std::string& text) {
+// Fails unless `text` fits the wire format and has no blanks.
+void checkToken(const Reader& reader, std::string_view key, const std::string& text) {
   const bool blank =
       std::any_of(text.begin(), text.end(), [](unsigned char c) { return c <= ' ' || c == 127; });
-  if (text.size() > kMostText) reader.fail(key, "longer than 64 bytes");
-  if (blank) reader.fail(key, "holds a blank or an unprintable character");
+  if (text.size() > kMaxTextBytes) reader.fail(key, "longer than 64 bytes");
+  if (blank) reader.fail(key, "contains a blank or an unprintable character");
 }
 
-std::string word(const Reader& reader, std::string_view key, std::optional<std::string_view> absent = {}) {
-  auto out = reader.text(key, absent);
-  checkWord(reader, key, out);
+std::string readToken(const Reader& reader, std::string_view key,
+                      std::optional<std::string_view> defaultValue = {}) {
+  auto out = reader.text(key, defaultValue);
+  checkToken(reader, key, out);
   return out;
 }
 
+// Whether two items have the same key.
 template <class Items, class Key>
-bool repeats(const Items& items, Key key) {
+bool hasDuplicates(const Items& items, Key key) {
   for (auto a = items.begin(); a != items.end(); ++a)
     if (std::any_of(items.begin(), a, [&](const auto& b) { return key(b) == key(*a); })) return true;
   return false;
@@ -34,37 +38,39 @@
 
 void readVoters(const Reader& reader, Membership& out) {
   for (const auto& block : reader.objects("voter")) {
-    out.voters.push_back({word(block, "name"), block.address("address")});
+    out.voters.push_back({readToken(block, "name"), block.address("address")});
     const auto& voter = out.voters.back();
     if (voter.name == out.name && voter.address != out.advertise)
-      block.fail("address", "this member's own, and not what it advertises: " + out.advertise);
+      block.fail("address", "differs from what this member advertises: " + out.advertise);
     if (voter.name != out.name && voter.address == out.advertise)
-      block.fail("name", "at this member's address, and not its name: " + out.name);
+      block.fail("name", "another name at this member's own address; its name is " + out.name);
   }
   const auto count = static_cast<std::int64_t>(out.voters.size());
   if (count > 0 && count % 2 == 0)
-    reader.fail("voter", "an even number of voters: of two halves neither would decide");
-  if (count > kMostVoters) reader.fail("voter", "more than 7 voters");
-  if (repeats(out.voters, [](const Voter& v) { return v.name; })) reader.fail("voter", "a name stands twice");
-  if (repeats(out.voters, [](const Voter& v) { return v.address; }))
-    reader.fail("voter", "an address stands twice");
+    reader.fail("voter", "an even number of voters: two halves would leave neither with a majority");
+  if (count > kMaxVoters) reader.fail("voter", "more than 7 voters");
+  if (hasDuplicates(out.voters, [](const Voter& v) { return v.name; }))
+    reader.fail("voter", "duplicate name");
+  if (hasDuplicates(out.voters, [](const Voter& v) { return v.address; }))
+    reader.fail("voter", "duplicate address");
 }
 
-// How the register reaches all members: the same in all of their files, for they see the same tree by it.
+// Settings of the register's dissemination. They must be the same in the files of all members, which derive
+// the same dissemination tree from them.
 void readDissemination(const Reader& reader, Membership& out) {
   out.relays = reader.texts("relays");
   for (const auto& relay : out.relays) {
-    checkWord(reader, "relays", relay);
+    checkToken(reader, "relays", relay);
     if (relay.empty()) reader.fail("relays", "an empty name");
     if (std::any_of(out.voters.begin(), out.voters.end(), [&](const Voter& v) { return v.name == relay; }))
-      reader.fail("relays", "a voter hands the register on in any case: " + relay);
+      reader.fail("relays", "voters always relay the register: " + relay);
   }
-  if (out.relays.size() > kMostRelays) reader.fail("relays", "more than 256 relays");
-  if (repeats(out.relays, [](const std::string& r) { return r; }))
-    reader.fail("relays", "a name stands twice");
+  if (out.relays.size() > kMaxRelays) reader.fail("relays", "more than 256 relays");
+  if (hasDuplicates(out.relays, [](const std::string& r) { return r; }))
+    reader.fail("relays", "duplicate name");
   out.fanOut = static_cast<std::size_t>(reader.integer("fanOut", 2, 64, 5));
   out.changeBytesPerS =
-      static_cast<std::size_t>(reader.integer("changeBytesPerS", 512, kMostChangeBytes, 2048));
+      static_cast<std::size_t>(reader.integer("changeBytesPerS", 512, kMaxChangeBytesPerSecond, 2048));
 }
 
 }  // namespace
@@ -92,30 +98,30 @@
 
 Membership readMembership(const Reader& reader, const std::string& name) {
   Membership out;
-  out.name = word(reader, "name", name);
+  out.name = readToken(reader, "name", name);
   if (out.name.empty()) reader.fail("name", "empty");
-  out.fleet = word(reader, "fleet");
+  out.fleet = readToken(reader, "fleet");
   if (out.fleet.empty()) reader.fail("fleet", "empty");
   out.listen = reader.address("listen");
   out.advertise = reader.address("advertise", out.listen);
-  out.zone = word(reader, "zone", "");
+  out.zone = readToken(reader, "zone", "");
   out.state = reader.text("state", "");
   out.seeds = reader.texts("seeds");
   for (const auto& seed : out.seeds)
     if (!isAddress(seed)) reader.fail("seeds", "not an address and port such as 127.0.0.1:7946: " + seed);
-  if (repeats(out.seeds, [](const std::string& s) { return s; }))
-    reader.fail("seeds", "an address stands twice");
+  if (hasDuplicates(out.seeds, [](const std::string& s) { return s; }))
+    reader.fail("seeds", "duplicate address");
   readVoters(reader, out);
   for (const auto& voter : out.voters)
     if (std::find(out.seeds.begin(), out.seeds.end(), voter.address) == out.seeds.end())
       out.seeds.push_back(voter.address);
-  constexpr std::int64_t kMinute = 60'000;
-  out.period = reader.millis("periodMs", 50, kMinute, 1000);
-  // An answer comes back, or others are asked and answer, within the period.
-  const auto period = out.period / 1'000'000;
-  out.answerTime = reader.millis("answerMs", 10, period / 2, period * 2 / 5);
-  out.syncEvery = reader.millis("syncMs", period, 60 * kMinute, 30 * period);
-  out.forgetAfter = reader.millis("forgetMs", 10 * period, 24 * 60 * kMinute, 600 * period);
+  constexpr std::int64_t kMinuteMs = 60'000;
+  out.period = reader.millis("periodMs", 50, kMinuteMs, 1000);
+  // Within one period the direct probe must time out and the indirect probes be answered.
+  const auto periodMs = out.period / 1'000'000;
+  out.answerTime = reader.millis("answerMs", 10, periodMs / 2, periodMs * 2 / 5);
+  out.syncEvery = reader.millis("syncMs", periodMs, 60 * kMinuteMs, 30 * periodMs);
+  out.forgetAfter = reader.millis("forgetMs", 10 * periodMs, 24 * 60 * kMinuteMs, 600 * periodMs);
   readDissemination(reader, out);
   return out;
 }
--- a/src/config/membership_config.hpp
+++ b/src/config/membership_config.hpp
@@ -1,4 +1,4 @@
-// The operator file's block `membership`: how this aggregator knows the others. Values.
+// Configuration of membership among the aggregators of a fleet: the block `membership` of the operator file.
 #pragma once
 
 #include <string>
@@ -9,28 +9,36 @@
 namespace topazweir::config {
 
 struct Voter {
-  std::string name, address;
+  std::string name;
+  std::string address;  // address:port
 };
 
+// Settings of one member. Durations are nanoseconds.
 struct Membership {
-  std::string name;               // of this member, the same after a restart
-  std::string fleet;              // members of another fleet are not listened to
-  std::string listen, advertise;  // where it hears, UDP and TCP; what the others are told of it
+  std::string name;       // of this member; stays the same over restarts
+  std::string fleet;      // messages from members of another fleet are ignored
+  std::string listen;     // address:port, UDP and TCP
+  std::string advertise;  // the address:port that is announced to the other members
   std::string zone;
-  std::vector<std::string> seeds;  // addresses that are asked at the start; the voters' belong to them
-  std::vector<Voter> voters;       // none, or an odd number: who decides where a fleet is cut
-  std::string state;               // folder of a voter's word; empty: it takes no part in agreement
-  Nanos period = 0, answerTime = 0, syncEvery = 0, forgetAfter = 0;
-  std::vector<std::string> relays;  // names: these alone hand the register on while any is there; none: all
-  std::size_t fanOut = 5;           // members that one hands it on to
-  std::size_t changeBytesPerS = 2048;  // sent for that, in the mean
+  std::vector<std::string> seeds;  // addresses contacted to join; always include those of the voters
+  std::vector<Voter> voters;       // the Raft group: an odd number of voters, or none
+  std::string state;               // folder for the voter's persistent state; empty: it does not vote
+  Nanos period = 0;                // between two probes
+  Nanos answerTime = 0;            // timeout of a direct probe, before indirect probes are sent
+  Nanos syncEvery = 0;             // interval of the full state exchange with one other member
+  Nanos forgetAfter = 0;           // failed and left members are removed after this time
+  // Names of the members that relay the register. If none of them is alive, or the list is empty, all members
+  // relay it.
+  std::vector<std::string> relays;
+  std::size_t fanOut = 5;              // children of one member in the dissemination tree
+  std::size_t changeBytesPerS = 2048;  // mean rate limit for sending register changes
 
   std::vector<std::string> voterNames() const;
-  bool votes() const;  // this member is a voter that keeps its word
+  bool votes() const;  // whether this member is a voter with persistent state
   bool operator==(const Membership&) const;
 };
 
-// `name`: the default, of the platform's part. Throws ConfigError.
+// Reads the block `membership`. `name`: the default for the member's name. Throws ConfigError.
 Membership readMembership(const Reader& reader, const std::string& name);
 
 }  // namespace topazweir::config
--- a/src/config/operator_config.cpp
+++ b/src/config/operator_config.cpp
@@ -1,3 +1,4 @@
+// Reading of the operator file.
 #include "config/operator_config.hpp"
 
 namespace topazweir::config {
@@ -33,7 +34,9 @@
   s.tick = 5 * kMs;
   s.shards = 1;
   s.maxAttempts = 4;
-  s.secondCopies = s.cancelling = s.retryAfter = true;
+  s.secondCopies = true;
+  s.cancelling = true;
+  s.retryAfter = true;
   s.maxRetryAfter = 2000 * kMs;
   s.drainGrace = 500 * kMs;
   s.classes.push_back({.name = "query", .aim = 1000 * kMs, .deadline = 2000 * kMs});
--- a/src/config/operator_config.hpp
+++ b/src/config/operator_config.hpp
@@ -1,5 +1,4 @@
-// The one file in which operators say what runs beside the platform's part: read whole, checked and given
-// defaults.
+// The operator file (HCL): logging and the parts that run beside or without the platform's part.
 #pragma once
 
 #include <optional>
@@ -15,20 +14,21 @@
 
 namespace topazweir::config {
 
+// A block that is absent from the file leaves its part switched off.
 struct Operator {
   telemetry::LogOptions log;
-  std::optional<Features> features;
-  std::optional<Snmp> snmp;
+  std::optional<FeaturesConfig> features;
+  std::optional<SnmpConfig> snmp;
   std::optional<Grpc> grpc;
   std::optional<Membership> membership;
-  std::vector<Setting> settings;  // the effective ones, in the order in which they were read
+  std::vector<Setting> settings;  // effective settings, in the order in which they were read
 };
 
-// `platform`: whose rules and seed are kept. `file`: what errors name. Throws ConfigError, naming file, line,
-// column and key; a key that is not known is an error, too.
+// Parses the operator file. Decision settings and the seed are taken from `platform`; `file` is the name used
+// in errors. Throws ConfigError, which names file, line, column and key; unknown keys are errors.
 Operator readOperator(std::string_view hcl, const std::string& file, const Config& platform);
 
-// What stands for the platform's part where there is none: the rules of docs/, without a platform's figures.
+// Returns the configuration used in place of the platform's where there is none: the default rules of docs/.
 Config standalone(std::uint64_t seed);
 
 }  // namespace topazweir::config
--- a/src/config/snmp_config.cpp
+++ b/src/config/snmp_config.cpp
@@ -1,3 +1,4 @@
+// Reading of the SNMP agent's configuration.
 #include "config/snmp_config.hpp"
 
 #include <cctype>
@@ -6,15 +7,15 @@
 
 namespace topazweir::config {
 
-Snmp readSnmp(std::string_view text) {
+SnmpConfig readSnmp(std::string_view text) {
   const Node root = readJson(text);
   return readSnmp(Reader(root, "snmp."));
 }
 
-Snmp readSnmp(const Reader& json) {
-  Snmp out{json.address("listen", "127.0.0.1:1161"), json.text("community", "public")};
+SnmpConfig readSnmp(const Reader& json) {
+  SnmpConfig out{json.address("listen", "127.0.0.1:1161"), json.text("community", "public")};
   if (out.listen.rfind("127.", 0) != 0) json.fail("listen", "not a loopback address");
-  // It becomes a word of the library's own configuration.
+  // The community is inserted into a line of net-snmp's own configuration, so it must be a single token.
   for (const char c : out.community)
     if (!std::isalnum(static_cast<unsigned char>(c)) && c != '-' && c != '_')
       json.fail("community", "not made of letters, digits, '-' and '_'");
--- a/src/config/snmp_config.hpp
+++ b/src/config/snmp_config.hpp
@@ -1,4 +1,4 @@
-// The file that switches the SNMP agent on: read and checked here.
+// Configuration of the SNMP agent: a JSON file of its own (--snmp) or the block `snmp` of the operator file.
 #pragma once
 
 #include "config/config.hpp"
@@ -6,13 +6,13 @@
 
 namespace topazweir::config {
 
-struct Snmp {
-  std::string listen;     // a loopback address and port
-  std::string community;  // that a manager must name
+struct SnmpConfig {
+  std::string listen;     // loopback address:port, UDP
+  std::string community;  // community string that requests must carry
 };
 
-// Throws ConfigError.
-Snmp readSnmp(std::string_view json);
-Snmp readSnmp(const Reader& json);
+// Reads the agent's configuration. Throws ConfigError.
+SnmpConfig readSnmp(std::string_view json);
+SnmpConfig readSnmp(const Reader& json);
 
 }  // namespace topazweir::config
--- a/src/features/backend.cpp
+++ b/src/features/backend.cpp
@@ -34,10 +34,10 @@
   void onEnd(net::Connection&, net::ConnectionEnd end) override { backend.onEnd(*this, end); }
 };
 
-Backend::Backend(net::Loop& loop, broker::Log& log, const config::Features& config, Ended ended)
+Backend::Backend(net::Loop& loop, broker::Log& log, const config::FeaturesConfig& config, Ended ended)
     : loop_(loop),
       log_(log),
-      mostLinks_(config.sockets / 2),
+      mostLinks_(config.maxSockets / 2),
       connectTimeout_(config.connectTimeout),
       ended_(std::move(ended)) {}
 
--- a/src/features/backend.hpp
+++ b/src/features/backend.hpp
@@ -20,7 +20,7 @@
 class Backend : public broker::Backend {
  public:
   using Ended = std::function<void(const broker::AttemptId&, Outcome, std::string value)>;
-  Backend(net::Loop& loop, broker::Log& log, const config::Features& config, Ended ended);
+  Backend(net::Loop& loop, broker::Log& log, const config::FeaturesConfig& config, Ended ended);
   ~Backend() override;
 
   void start(broker::AttemptOrder order) override;
--- a/src/features/front.cpp
+++ b/src/features/front.cpp
@@ -39,14 +39,14 @@
 
 }  // namespace
 
-Front::Front(net::Loop& loop, broker::Log& log, const config::Features& config, broker::Broker& broker)
+Front::Front(net::Loop& loop, broker::Log& log, const config::FeaturesConfig& config, broker::Broker& broker)
     : config_(config),
       loop_(loop),
       broker_(broker),
-      server_(
-          loop, log,
-          {"features", Poco::Net::SocketAddress(config.listen), std::max<std::size_t>(8, config.sockets / 2)},
-          *this) {}
+      server_(loop, log,
+              {"features", Poco::Net::SocketAddress(config.listen),
+               std::max<std::size_t>(8, config.maxSockets / 2)},
+              *this) {}
 
 void Front::onRequest(http::Server::ExchangeNo exchange, const http::Head& head, std::string_view) {
   const auto question = std::min(head.target.find('?'), head.target.size());
@@ -77,7 +77,7 @@
   const std::string target = "/collections/" + open.collection + "/items";
   if (single) {
     if (!query.empty()) return server_.respond(exchange, problem(400, "unknown parameter"));
-    return ask(std::move(open), config::Features::kLookup, target + "/" + encode(*id));
+    return ask(std::move(open), config::FeaturesConfig::kLookupClass, target + "/" + encode(*id));
   }
   auto read = readItemsQuery(query);
   if (const auto* fault = std::get_if<std::string>(&read))
@@ -85,7 +85,7 @@
   open.items = std::get<ItemsQuery>(read);
   // Every feature is fetched, whatever the page asked for: which ones it holds depends on all groups.
   const std::string all = target + "?" + filters(*open.items) + "limit=" + std::to_string(config_.pageLimit);
-  ask(std::move(open), config::Features::kSearch, all);
+  ask(std::move(open), config::FeaturesConfig::kSearchClass, all);
 }
 
 void Front::ask(Open open, int queryClass, std::string query) {
--- a/src/features/front.hpp
+++ b/src/features/front.hpp
@@ -13,7 +13,7 @@
 
 class Front : public broker::Front, private http::Server::Handler {
  public:
-  Front(net::Loop& loop, broker::Log& log, const config::Features& config, broker::Broker& broker);
+  Front(net::Loop& loop, broker::Log& log, const config::FeaturesConfig& config, broker::Broker& broker);
   http::Server& server() { return server_; }
 
  private:
@@ -35,7 +35,7 @@
   http::Response writeItems(const Open& open, const broker::FinalAnswer& answer) const;
   http::Response writeItem(const Open& open, const broker::FinalAnswer& answer) const;
 
-  const config::Features& config_;
+  const config::FeaturesConfig& config_;
   net::Loop& loop_;
   broker::Broker& broker_;
   std::map<broker::RequestNo, Open> open_;
--- a/src/features/side.hpp
+++ b/src/features/side.hpp
@@ -9,7 +9,7 @@
 
 class Side {
  public:
-  Side(net::Loop& loop, broker::Log& log, config::Features config)
+  Side(net::Loop& loop, broker::Log& log, config::FeaturesConfig config)
       : config_(std::move(config)),
         clock_(loop, [this] { broker_.wake(); }),
         backend_(loop, log, config_,
@@ -24,12 +24,12 @@
   void told(const std::vector<config::BranchGroup>& groups) {
     broker_.told(backend_.servers(groups, ListNews::Scope::full));
   }
-  const config::Features& config() const { return config_; }
+  const config::FeaturesConfig& config() const { return config_; }
   const broker::Broker& broker() const { return broker_; }
   http::Server& server() { return front_.server(); }
 
  private:
-  config::Features config_;
+  config::FeaturesConfig config_;
   net::LoopClock clock_;
   Backend backend_;
   broker::Broker broker_;
--- a/src/snmp/agent.cpp
+++ b/src/snmp/agent.cpp
@@ -88,7 +88,7 @@
 
 }  // namespace
 
-Agent::Agent(net::Loop& loop, broker::Log& log, const config::Snmp& config, Take take)
+Agent::Agent(net::Loop& loop, broker::Log& log, const config::SnmpConfig& config, Take take)
     : loop_(loop), log_(log), take_(std::move(take)) {
   // Nothing is read from or written to the disk, and no configuration but the project's own counts.
   netsnmp_ds_set_boolean(NETSNMP_DS_LIBRARY_ID, NETSNMP_DS_LIB_DONT_READ_CONFIGS, 1);
--- a/src/snmp/agent.hpp
+++ b/src/snmp/agent.hpp
@@ -19,7 +19,7 @@
  public:
   using Take = std::function<Snapshot()>;
   // Throws ConfigError when the address can't be listened on.
-  Agent(net::Loop& loop, broker::Log& log, const config::Snmp& config, Take take);
+  Agent(net::Loop& loop, broker::Log& log, const config::SnmpConfig& config, Take take);
   ~Agent();
   Agent(const Agent&) = delete;
   Agent& operator=(const Agent&) = delete;
--- a/tests/fronts_test.cpp
+++ b/tests/fronts_test.cpp
@@ -55,7 +55,8 @@
   return config;
 }
 
-config::Features featuresConfig(const std::vector<config::FeatureServer>& servers, std::size_t groups = 1) {
+config::FeaturesConfig featuresConfig(const std::vector<config::FeatureServer>& servers,
+                                      std::size_t groups = 1) {
   std::string list;
   for (const auto& s : servers) {
     const char* state = s.state == ServerState::up ? "ready" : "draining";
--- a/tests/snmp_test.cpp
+++ b/tests/snmp_test.cpp
@@ -80,7 +80,7 @@
   NoBackend backend;
   net::LoopClock clock(loop, [] {});
   const broker::Broker broker(terms, clock, backend, log);
-  const config::Snmp config{freeAddress(), "secret"};
+  const config::SnmpConfig config{freeAddress(), "secret"};
   snmp::CallFigures calls;
   calls.shed = 5'000'000'000;  // beyond 32 bits
   calls.bufferedBytes = 77;
