--- a/src/config/hcl.cpp
+++ b/src/config/hcl.cpp
@@ -24,6 +24,7 @@
   Member next;  // objects only: the key whose value is read next
 };
 
+// The state of the parser's actions.
 struct Builder {
   std::vector<OpenContainer> stack;
   std::string text;  // the string being read, unescaped
@@ -40,6 +41,7 @@
   [[noreturn]] static void fail(const Input& in, const std::string& what) {
     throw peg::parse_error(what, in);
   }
+  // Opens a list or object.
   template <class Input>
   void open(const Input& in, Node node) {
     if (stack.size() >= kMaxNesting) fail(in, "nested too deeply");
@@ -67,6 +69,7 @@
     const auto key = stack.back().next.key;
     if (!add(std::move(node))) fail(in, "key " + key + ": given twice");
   }
+  // Closes the innermost list or object and adds it to the one around it.
   template <class Input>
   void close(const Input& in) {
     Node done = std::move(stack.back().node);
@@ -76,6 +79,7 @@
   // Sets the key of the next value.
   void setKey(std::string key, Position position) { stack.back().next = {std::move(key), position, {}}; }
 
+  // Opens a block as an object; its label becomes the member "name".
   template <class Input>
   void openBlock(const Input& in) {
     Node::Object body;
--- a/src/features/backend.cpp
+++ b/src/features/backend.cpp
@@ -14,7 +14,8 @@
 constexpr std::size_t kMaxAttemptBytes = 4 * 1024 * 1024;
 constexpr std::size_t kMaxPages = 1000;
 constexpr Nanos kIdleTimeout = 5'000'000'000;  // 5 s; short, since the servers' own idle timeout is not known
-constexpr Nanos kStallTimeout = 150'000'000;   // 150 ms without progress within a response
+// 150 ms. A response that has begun and makes no progress for this long is taken to be incomplete for good.
+constexpr Nanos kStallTimeout = 150'000'000;
 }  // namespace
 
 // A connection carries one exchange at a time and is kept open for the next one.
@@ -148,8 +149,8 @@
         loop_.after(kStallTimeout, [&pooled] { pooled.connection->end(net::ConnectionEnd::badPeer); });
     return pooled.connection->resume();
   }
-  if (!pooled.attempt)
-    return pooled.connection->end(net::ConnectionEnd::badPeer);  // response without a request
+  // A response without a request.
+  if (!pooled.attempt) return pooled.connection->end(net::ConnectionEnd::badPeer);
   const auto head = pooled.parser.head(input);
   const int status = head.status;
   const bool keep = head.keepAlive;
@@ -178,8 +179,8 @@
     const bool firstPage = at->second.visited.size() == 1;
     return finish(id, firstPage ? Outcome::rejected : Outcome::error, {}, "status " + std::to_string(status));
   }
-  if (single && status == 404)
-    return finish(id, Outcome::delivered, {}, {});  // the group does not have this feature
+  // The group does not have this feature.
+  if (single && status == 404) return finish(id, Outcome::delivered, {}, {});
   if (status != 200) return finish(id, Outcome::error, {}, "status " + std::to_string(status));
   if (!single) return onPage(id, body);
   if (!isFeature(body)) return finish(id, Outcome::error, {}, "no GeoJSON feature");
@@ -195,7 +196,8 @@
     attempt.bytes += feature.size() + 1;
     attempt.features.push_back(std::move(feature));
   }
-  if (attempt.bytes > kMaxAttemptBytes) return finish(id, Outcome::error, {}, "more than can be held");
+  if (attempt.bytes > kMaxAttemptBytes)
+    return finish(id, Outcome::error, {}, "the response is larger than 4 MiB");
   if (page->next.empty()) return finish(id, Outcome::delivered, join(attempt.features), {});
   const auto next = resolveNext(page->next, attempt.target, servers_.at(attempt.order.server).address);
   if (!next) return finish(id, Outcome::error, {}, "a next link to another host");
@@ -212,8 +214,8 @@
   connections_.erase(at);
   if (!pooled.attempt) return;
   const auto id = *pooled.attempt;
-  if (end == net::ConnectionEnd::peerClosed &&
-      pooled.parser.finishAtEnd()) {  // a body delimited by the end of the connection
+  // The body may be delimited by the end of the connection.
+  if (end == net::ConnectionEnd::peerClosed && pooled.parser.finishAtEnd()) {
     const int status = pooled.parser.head(pooled.connection->input()).status;
     return onResponse(id, status, pooled.parser.body(pooled.connection->input()));
   }
@@ -227,8 +229,8 @@
 
 std::optional<std::string> resolveNext(std::string_view href, std::string_view base, std::string_view host) {
   constexpr std::string_view kScheme = "http://";
-  for (const char c :
-       href)  // it is put into a request line, so it must not contain blanks or control characters
+  // The target is put into a request line, so it must not contain blanks or control characters.
+  for (const char c : href)
     if (c <= ' ' || c > '~') return std::nullopt;
   href = href.substr(0, href.find('#'));
   if (href.empty()) return std::nullopt;
--- a/src/snmp/snapshot.hpp
+++ b/src/snmp/snapshot.hpp
@@ -14,10 +14,12 @@
 
 using Oid = std::vector<unsigned long>;
 
-struct Counter {  // Counter64
+// A Counter64 of the MIB.
+struct Counter {
   std::uint64_t value;
 };
-struct Gauge {  // Gauge32
+// A Gauge32 of the MIB.
+struct Gauge {
   std::uint32_t value;
 };
 using Value = std::variant<Counter, Gauge, std::int32_t, std::string>;
@@ -29,7 +31,7 @@
   std::string name;
   ServerState state = ServerState::up;
   int cell = 0;
-  Nanos startedAt = 0;
+  Nanos startedAt = 0;  // since the epoch; 0: long ago
 };
 
 // Counters and gauges of the gRPC front.
@@ -41,7 +43,7 @@
   std::uint64_t calls = 0;
   std::uint64_t malformed = 0;
   std::uint64_t unrouted = 0;
-  std::uint64_t shed = 0;       // rejected by admission control
+  std::uint64_t shed = 0;       // rejected because the buffers were full
   std::uint64_t cancelled = 0;  // by their clients
   std::uint64_t floods = 0;     // client connections closed with ENHANCE_YOUR_CALM
   std::uint64_t healthChecks = 0;
@@ -80,7 +82,7 @@
     std::uint32_t refusedPermille = 0;  // of its requests
   };
   std::size_t alive = 0;           // members
-  std::size_t doubts = 0;          // local health score: 0 is healthy
+  std::size_t doubts = 0;          // local health score: 0 is healthy, 8 the worst
   int standing = 0;                // membership state, numbered as in the MIB, from 1
   std::uint64_t sent = 0;          // datagrams
   std::uint64_t received = 0;      // datagrams
@@ -91,11 +93,12 @@
   std::vector<Member> members;
   // How far the replicated register has been disseminated.
   struct Register {
-    std::optional<std::uint64_t> ageMs{};  // since a voter last confirmed it as fresh; none: never
-    std::uint64_t position = 0;            // number of commands applied here
-    std::uint64_t low = 0;                 // low watermark: commands applied at all counted members
-    std::uint64_t counted = 0;  // members of the dissemination tree from here down, this one included
-    std::uint64_t level = 0;    // counted members that have this position
+    std::optional<std::uint64_t>
+        ageMs{};                 // since a voter with a leader last confirmed it as fresh; none: never
+    std::uint64_t position = 0;  // number of commands applied here
+    std::uint64_t low = 0;       // low watermark: commands applied at all counted members
+    std::uint64_t counted = 0;   // members of the dissemination tree from here down, this one included
+    std::uint64_t level = 0;     // counted members that have this position
   };
   Register held{};
 };
