--- a/src/snmp/snapshot.hpp
+++ b/src/snmp/snapshot.hpp
@@ -93,8 +93,8 @@
   std::vector<Member> members;
   // How far the replicated register has been disseminated.
   struct Register {
-    std::optional<std::uint64_t>
-        ageMs{};                 // since a voter with a leader last confirmed it as fresh; none: never
+    // Time since a voter that knew a leader last confirmed the register as fresh; none: never.
+    std::optional<std::uint64_t> ageMs{};
     std::uint64_t position = 0;  // number of commands applied here
     std::uint64_t low = 0;       // low watermark: commands applied at all counted members
     std::uint64_t counted = 0;   // members of the dissemination tree from here down, this one included
