--- a/src/config/snmp_config.cpp
+++ b/src/config/snmp_config.cpp
@@ -1,3 +1,4 @@
+// Reading of the SNMP agent's configuration.
 #include "config/snmp_config.hpp"
 
 #include <cctype>
@@ -6,19 +7,19 @@
 
 namespace topazweir::config {
 
-Snmp readSnmp(std::string_view text) {
+SnmpConfig readSnmp(std::string_view text) {
   const Node root = readJson(text);
   return readSnmp(Reader(root, "snmp."));
 }
 
-Snmp readSnmp(const Reader& json) {
-  Snmp out{json.address("listen", "127.0.0.1:1161"), json.text("community", "public")};
-  if (out.listen.rfind("127.", 0) != 0) json.fail("listen", "not a loopback address");
-  // It becomes a word of the library's own configuration.
+SnmpConfig readSnmp(const Reader& reader) {
+  SnmpConfig out{reader.address("listen", "127.0.0.1:1161"), reader.text("community", "public")};
+  if (out.listen.rfind("127.", 0) != 0) reader.fail("listen", "not a loopback address");
+  // The community is inserted into a line of net-snmp's own configuration, so it must be a single token.
   for (const char c : out.community)
     if (!std::isalnum(static_cast<unsigned char>(c)) && c != '-' && c != '_')
-      json.fail("community", "not made of letters, digits, '-' and '_'");
-  if (out.community.empty()) json.fail("community", "empty");
+      reader.fail("community", "not made of letters, digits, '-' and '_'");
+  if (out.community.empty()) reader.fail("community", "empty");
   return out;
 }
 
