--- a/src/lab/scale/connections.cpp
+++ b/src/lab/scale/connections.cpp
@@ -21,19 +21,20 @@
 
 namespace {
 
-constexpr double kSecond = 1e9;
+constexpr double kNanosPerSecond = 1e9;
 constexpr std::size_t kUnlimited = 1'000'000;
-constexpr int kLeafAddresses = 200'000;  // behind those of hollow members
+constexpr int kFirstLeafAddress = 200'000;  // after the addresses of the hollow members
 
-// Leafs that answer each part after a drawn time: gamma, 4, as in the module's slopes.
-class StandInLeafs : net::Connection::Owner {
+// Fake leafs that answer each part after a random service time: gamma distribution with shape 4, as in the
+// measurements of the decision module.
+class FakeLeafs : net::Connection::Owner {
  public:
-  StandInLeafs(net::Loop& loop, int count, double partSeconds)
-      : loop_(loop), work_(4, partSeconds * kSecond / 4) {
+  FakeLeafs(net::Loop& loop, int count, double partSeconds)
+      : loop_(loop), serviceTime_(4, partSeconds * kNanosPerSecond / 4) {
     const int port = 17'000 + ::getpid() % 1000 * 10;
-    for (int i = 0; i < count; ++i) add(addressOf(kLeafAddresses + i, port));
+    for (int i = 0; i < count; ++i) add(memberAddress(kFirstLeafAddress + i, port));
   }
-  ~StandInLeafs() override {
+  ~FakeLeafs() override {
     for (auto& [key, connection] : connections_) connection->close();
   }
   const platform::NodeList& list() const { return list_; }
@@ -55,8 +56,8 @@
   }
   void onData(net::Connection& c) override {
     const std::weak_ptr<net::Connection> weak = connections_.at(&c);
-    while (const auto reply = speaker_.reply(c.input(), Fault::none))
-      loop_.after(static_cast<Nanos>(work_(random_)), [weak, text = *reply] {
+    while (const auto reply = fakeNode_.reply(c.input(), Fault::none))
+      loop_.after(static_cast<Nanos>(serviceTime_(random_)), [weak, text = *reply] {
         if (const auto self = weak.lock()) self->write(text);
       });
     c.resume();
@@ -65,223 +66,243 @@
 
   static constexpr int kBacklog = 16;
   net::Loop& loop_;
-  std::gamma_distribution<double> work_;
+  std::gamma_distribution<double> serviceTime_;
   std::mt19937_64 random_{99};
-  NodeSpeaker speaker_;
+  NodeSpeaker fakeNode_;
   platform::NodeList list_;
   std::deque<std::unique_ptr<net::Listener>> listeners_;
   std::map<net::Connection*, std::shared_ptr<net::Connection>> connections_;
 };
 
-// What a pool has done since the counting began.
-struct Counted {
+// Counters of one pool since counting started.
+struct PoolCounts {
   std::uint64_t parts = 0, dials = 0, notSent = 0, failed = 0;
-  double held = 0, mostHeld = 0, out = 0, mostOut = 0;  // connections; parts out at once
-  double micros = 0;                                    // an answered part
+  double meanOpen = 0, maxOpen = 0;                // connections
+  double meanOutstanding = 0, maxOutstanding = 0;  // parts
+  double meanAnswerMicros = 0;                     // of a delivered part
   std::uint64_t sent() const { return parts - notSent; }
-  double dialsASent() const { return static_cast<double>(dials) / static_cast<double>(sent()); }
+  double dialsPerSentPart() const { return static_cast<double>(dials) / static_cast<double>(sent()); }
   double notSentShare() const { return static_cast<double>(notSent) / static_cast<double>(parts); }
 };
 
-// Queries of 94 parts, each shard's to one of its leafs by chance, through a pool of so many connections.
-class QuerySource {
+// Generates queries of 94 parts through a pool with a connection limit; each part goes to a random leaf of
+// its shard.
+class LoadGenerator {
  public:
-  QuerySource(net::Loop& loop, const platform::Directory& directory, std::size_t mostConnections,
-              const ConnectionOptions& options, std::uint64_t seed)
+  LoadGenerator(net::Loop& loop, const platform::Directory& directory, std::size_t maxConnections,
+                const ConnectionOptions& options, std::uint64_t seed)
       : loop_(loop),
-        leafs_(static_cast<int>(directory.all().size())),
-        gap_(kQueriesEach / options.stretch / kSecond),
+        leafCount_(static_cast<int>(directory.all().size())),
+        queryInterval_(kQueriesPerAggregatorPerS / options.slowdownFactor / kNanosPerSecond),
         random_(seed),
-        pool_(loop, log_, directory, {options.streams, 0, kConnectTime, mostConnections},
-              [this](const auto& id, auto outcome, auto) { ended(id, outcome); }) {
-    ask();
-    look();
+        pool_(loop, log_, directory, {options.streamsPerConnection, 0, kConnectTimeout, maxConnections},
+              [this](const auto& id, auto outcome, auto) { attemptEnded(id, outcome); }) {
+    sendQuery();
+    sample();
   }
-  ~QuerySource() {
-    loop_.cancel(askTimer_);
-    loop_.cancel(lookTimer_);
+  ~LoadGenerator() {
+    loop_.cancel(queryTimer_);
+    loop_.cancel(sampleTimer_);
   }
-  void count() {
-    counted_ = {};
-    counted_.dials = pool_.opened();
-    looks_ = 0, answered_ = 0, answerTime_ = 0;
+  void startCounting() {
+    counts_ = {};
+    counts_.dials = pool_.opened();
+    samples_ = 0;
+    answeredParts_ = 0;
+    totalAnswerTime_ = 0;
   }
-  Counted counted() const {
-    Counted out = counted_;
-    out.dials = pool_.opened() - counted_.dials;
-    out.held /= looks_, out.out /= looks_;
-    out.micros = answerTime_ / 1e3 / answered_;
+  PoolCounts counts() const {
+    PoolCounts out = counts_;
+    out.dials = pool_.opened() - counts_.dials;
+    out.meanOpen /= samples_;
+    out.meanOutstanding /= samples_;
+    out.meanAnswerMicros = totalAnswerTime_ / 1e3 / answeredParts_;
     return out;
   }
 
  private:
-  void ask() {
-    askTimer_ = loop_.after(static_cast<Nanos>(gap_(random_)), [this] { ask(); });
+  void sendQuery() {
+    queryTimer_ = loop_.after(static_cast<Nanos>(queryInterval_(random_)), [this] { sendQuery(); });
     const auto query = ++queries_;
-    for (int shard = 0; shard < kParts; ++shard) start(query, shard);
+    for (int shard = 0; shard < kParts; ++shard) startAttempt(query, shard);
   }
-  void start(broker::RequestNo query, int shard) {
-    const int holders = (leafs_ - 1 - shard) / kParts + 1;
+  void startAttempt(broker::RequestNo query, int shard) {
+    const int holders = (leafCount_ - 1 - shard) / kParts + 1;
     const int leaf = shard + kParts * static_cast<int>(random_() % static_cast<unsigned>(holders));
     const broker::AttemptId id{query, shard, 0};
-    out_[id] = loop_.now();
-    ++counted_.parts;
-    pool_.start(
-        {id, static_cast<ServerId>(leaf + 1), fmt::format("{}.{}", query, shard), shard, query_, kPatience});
+    startTimes_[id] = loop_.now();
+    ++counts_.parts;
+    pool_.start({id, static_cast<ServerId>(leaf + 1), fmt::format("{}.{}", query, shard), shard, query_,
+                 kAttemptTimeout});
   }
-  void ended(const broker::AttemptId& id, Outcome outcome) {
-    const auto at = out_.find(id);
+  void attemptEnded(const broker::AttemptId& id, Outcome outcome) {
+    const auto at = startTimes_.find(id);
     if (outcome == Outcome::delivered) {
-      ++answered_;
-      answerTime_ += static_cast<double>(loop_.now() - at->second);
+      ++answeredParts_;
+      totalAnswerTime_ += static_cast<double>(loop_.now() - at->second);
     }
-    counted_.notSent += outcome == Outcome::notSent;
-    counted_.failed += outcome != Outcome::notSent && outcome != Outcome::delivered;
-    out_.erase(at);
+    counts_.notSent += outcome == Outcome::notSent;
+    counts_.failed += outcome != Outcome::notSent && outcome != Outcome::delivered;
+    startTimes_.erase(at);
   }
-  void look() {
-    lookTimer_ = loop_.after(kLook, [this] { look(); });
-    ++looks_;
-    const auto held = static_cast<double>(pool_.connections()), out = static_cast<double>(out_.size());
-    counted_.held += held, counted_.out += out;
-    counted_.mostHeld = std::max(counted_.mostHeld, held);
-    counted_.mostOut = std::max(counted_.mostOut, out);
+  void sample() {
+    sampleTimer_ = loop_.after(kSampleInterval, [this] { sample(); });
+    ++samples_;
+    const auto open = static_cast<double>(pool_.connections()),
+               outstanding = static_cast<double>(startTimes_.size());
+    counts_.meanOpen += open;
+    counts_.meanOutstanding += outstanding;
+    counts_.maxOpen = std::max(counts_.maxOpen, open);
+    counts_.maxOutstanding = std::max(counts_.maxOutstanding, outstanding);
   }
 
-  static constexpr Nanos kConnectTime = 5'000'000'000, kPatience = 60'000'000'000, kLook = 20'000'000;
+  static constexpr Nanos kConnectTimeout = 5'000'000'000;
+  static constexpr Nanos kAttemptTimeout = 60'000'000'000;
+  static constexpr Nanos kSampleInterval = 20'000'000;
   net::Loop& loop_;
-  int leafs_;
-  std::exponential_distribution<double> gap_;
+  int leafCount_;
+  std::exponential_distribution<double> queryInterval_;
   std::mt19937_64 random_;
   std::shared_ptr<const std::string> query_ = std::make_shared<const std::string>("q");
   broker::Log log_{[](auto, auto) {}, [] { return Nanos{0}; }};
-  std::map<broker::AttemptId, Nanos> out_;  // since when
+  std::map<broker::AttemptId, Nanos> startTimes_;  // by attempt
   broker::RequestNo queries_ = 0;
-  Counted counted_;
-  double looks_ = 0, answered_ = 0, answerTime_ = 0;
-  net::Loop::TimerId askTimer_{}, lookTimer_{};
+  PoolCounts counts_;
+  double samples_ = 0, answeredParts_ = 0, totalAnswerTime_ = 0;
+  net::Loop::TimerId queryTimer_{}, sampleTimer_{};
   platform::NodePool pool_;
 };
 
-// Throws where it would need more descriptors than there may be.
+// Throws std::runtime_error if the measurement needs more descriptors than the process may open.
 void checkDescriptors(int leafs, const ConnectionOptions& options) {
   double need = leafs + 64.0;
   for (const std::size_t descriptors : {std::size_t{256}, std::size_t{1024}})
-    need += 2 * ConnectionModel(leafs, descriptors).slots * static_cast<double>(options.seeds.size());
-  if (leafs <= options.mostUnlimited) need += 2 * 4.0 * leafs;
+    need +=
+        2 * ConnectionModel(leafs, descriptors).connectionLimit * static_cast<double>(options.seeds.size());
+  if (leafs <= options.maxLeafsUnlimited) need += 2 * 4.0 * leafs;
   rlimit limit{};
   ::getrlimit(RLIMIT_NOFILE, &limit);
   if (need > static_cast<double>(limit.rlim_cur))
     throw std::runtime_error(fmt::format("needs {:.0f} descriptors of {} (ulimit -n)", need, limit.rlim_cur));
 }
 
-// All pools at once before the same leafs: by descriptors (0: without a limit), one for each seed.
-std::map<std::size_t, std::vector<Counted>> countAt(int leafs, const ConnectionOptions& options) {
+// Measures all pools concurrently against the same leafs. The result is keyed by the number of descriptors
+// (0: no limit) and has one entry per seed.
+std::map<std::size_t, std::vector<PoolCounts>> measureAt(int leafs, const ConnectionOptions& options) {
   checkDescriptors(leafs, options);
   net::Loop loop;
-  StandInLeafs standIns(loop, leafs, kPartTime * options.stretch);
+  FakeLeafs fakeLeafs(loop, leafs, kPartSeconds * options.slowdownFactor);
   platform::Directory directory;
-  directory.apply(standIns.list(), ListNews::Scope::full);
-  std::map<std::size_t, std::vector<std::unique_ptr<QuerySource>>> sources;
-  const auto add = [&](std::size_t descriptors, std::size_t slots, std::uint64_t seed) {
-    sources[descriptors].push_back(std::make_unique<QuerySource>(loop, directory, slots, options, seed));
+  directory.apply(fakeLeafs.list(), ListNews::Scope::full);
+  std::map<std::size_t, std::vector<std::unique_ptr<LoadGenerator>>> generators;
+  const auto add = [&](std::size_t descriptors, std::size_t connectionLimit, std::uint64_t seed) {
+    generators[descriptors].push_back(
+        std::make_unique<LoadGenerator>(loop, directory, connectionLimit, options, seed));
   };
   for (const auto seed : options.seeds)
     for (const std::size_t descriptors : {std::size_t{256}, std::size_t{1024}})
-      add(descriptors, static_cast<std::size_t>(ConnectionModel(leafs, descriptors).slots), seed);
-  if (leafs <= options.mostUnlimited) add(0, kUnlimited, options.seeds.front());
-  loop.after(static_cast<Nanos>(options.warmSeconds * kSecond), [&] {
-    for (auto& [descriptors, of] : sources)
-      for (auto& source : of) source->count();
+      add(descriptors, static_cast<std::size_t>(ConnectionModel(leafs, descriptors).connectionLimit), seed);
+  if (leafs <= options.maxLeafsUnlimited) add(0, kUnlimited, options.seeds.front());
+  loop.after(static_cast<Nanos>(options.warmUpSeconds * kNanosPerSecond), [&] {
+    for (auto& [descriptors, poolGenerators] : generators)
+      for (auto& generator : poolGenerators) generator->startCounting();
   });
-  loop.after(static_cast<Nanos>((options.warmSeconds + options.seconds) * kSecond), [&] { loop.stop(); });
+  loop.after(static_cast<Nanos>((options.warmUpSeconds + options.countedSeconds) * kNanosPerSecond),
+             [&] { loop.stop(); });
   loop.run();
-  std::map<std::size_t, std::vector<Counted>> out;
-  for (const auto& [descriptors, of] : sources)
-    for (const auto& source : of) out[descriptors].push_back(source->counted());
+  std::map<std::size_t, std::vector<PoolCounts>> out;
+  for (const auto& [descriptors, poolGenerators] : generators)
+    for (const auto& generator : poolGenerators) out[descriptors].push_back(generator->counts());
   return out;
 }
 
-Repeated of(const std::vector<Counted>& counted, const std::function<double(const Counted&)>& what) {
+Summary summariseBy(const std::vector<PoolCounts>& counts,
+                    const std::function<double(const PoolCounts&)>& figure) {
   std::vector<double> values;
-  for (const auto& c : counted) values.push_back(what(c));
-  return repeated(values);
+  for (const auto& c : counts) values.push_back(figure(c));
+  return summarise(values);
 }
-double middle(const std::vector<Counted>& counted, double Counted::*figure) {
-  return of(counted, [figure](const Counted& c) { return c.*figure; }).middle;
+double medianOf(const std::vector<PoolCounts>& counts, double PoolCounts::*figure) {
+  return summariseBy(counts, [figure](const PoolCounts& c) { return c.*figure; }).median;
 }
 
-void print(int leafs, std::size_t descriptors, const std::vector<Counted>& counted) {
-  const auto dials = of(counted, [](const Counted& c) { return c.dialsASent(); });
-  const auto notSent = of(counted, [](const Counted& c) { return c.notSentShare(); });
-  std::string slots = "-", computed = "-";
+void printRow(int leafs, std::size_t descriptors, const std::vector<PoolCounts>& counts) {
+  const auto dials = summariseBy(counts, [](const PoolCounts& c) { return c.dialsPerSentPart(); });
+  const auto notSent = summariseBy(counts, [](const PoolCounts& c) { return c.notSentShare(); });
+  std::string connectionLimit = "-", computed = "-";
   if (descriptors > 0) {
     const ConnectionModel model(leafs, descriptors);
-    slots = fmt::format("{:.0f}", model.slots), computed = fmt::format("{:.3f}", model.dialsAPart());
+    connectionLimit = fmt::format("{:.0f}", model.connectionLimit);
+    computed = fmt::format("{:.3f}", model.dialsPerPart());
   }
   fmt::print(
       "| {} | {} | {} | {:.0f} | {:.0f} | {:.0f} | {:.0f} | {:.3f} ({:.3f}-{:.3f}) | {} | {:.3f} "
       "({:.3f}-{:.3f}) | {:.0f} |\n",
-      leafs, descriptors > 0 ? std::to_string(descriptors) : "no limit", slots,
-      middle(counted, &Counted::out), middle(counted, &Counted::mostOut), middle(counted, &Counted::held),
-      middle(counted, &Counted::mostHeld), dials.middle, dials.least, dials.most, computed, notSent.middle,
-      notSent.least, notSent.most, middle(counted, &Counted::micros) / 1e3);
+      leafs, descriptors > 0 ? std::to_string(descriptors) : "no limit", connectionLimit,
+      medianOf(counts, &PoolCounts::meanOutstanding), medianOf(counts, &PoolCounts::maxOutstanding),
+      medianOf(counts, &PoolCounts::meanOpen), medianOf(counts, &PoolCounts::maxOpen), dials.median,
+      dials.min, dials.max, computed, notSent.median, notSent.min, notSent.max,
+      medianOf(counts, &PoolCounts::meanAnswerMicros) / 1e3);
   std::fflush(stdout);
 }
 
-// Leafs to which a part finds an idle connection: sent parts that needed no dial, as a share, times the
-// leafs. As many at any size, once the leafs are more than the connections.
-double reached(int leafs, const std::vector<Counted>& counted) {
+// Number of leafs to which a part finds an idle connection: the share of sent parts that needed no dial,
+// times the number of leafs. It does not depend on the size once there are more leafs than connections.
+double leafsWithIdleConnection(int leafs, const std::vector<PoolCounts>& counts) {
   double sent = 0, dials = 0;
-  for (const auto& c : counted) sent += static_cast<double>(c.sent()), dials += static_cast<double>(c.dials);
+  for (const auto& c : counts) {
+    sent += static_cast<double>(c.sent());
+    dials += static_cast<double>(c.dials);
+  }
   return leafs * (1 - dials / sent);
 }
 
-// Fitted on the smaller sizes, compared at the largest of those that a pool without a limit runs at, and of
-// all.
-struct ConnectionSlopes {
-  static constexpr int kFittedFrom = 1000;
-  std::map<std::size_t, Slope> reachedBy{};  // by descriptors
-  Slope wanted{Model::power};
+// Fits on the smaller sizes. Pools without a limit are compared at the largest size that they run at, the
+// others at the largest of all.
+struct ConnectionFits {
+  static constexpr int kMinFittedLeafs = 1000;
+  std::map<std::size_t, ScalingFit> idleByDescriptors{};  // by number of descriptors
+  ScalingFit connectionsWanted{FitModel::power};
 
-  void take(int leafs, std::size_t descriptors, const std::vector<Counted>& counted,
-            const ConnectionOptions& options) {
+  void addOrCompare(int leafs, std::size_t descriptors, const std::vector<PoolCounts>& counts,
+                    const ConnectionOptions& options) {
     if (descriptors == 0)
-      return take(wanted, leafs, options.mostUnlimited, counted.front().mostHeld, "connections wanted");
-    if (leafs < kFittedFrom) return;
-    auto& slope = reachedBy.try_emplace(descriptors, Slope{Model::constant}).first->second;
-    take(slope, leafs, options.largest, reached(leafs, counted),
-         fmt::format("leafs with an idle connection, {} descriptors", descriptors));
+      return addOrCompare(connectionsWanted, leafs, options.maxLeafsUnlimited, counts.front().maxOpen,
+                          "connections wanted");
+    if (leafs < kMinFittedLeafs) return;
+    auto& fit = idleByDescriptors.try_emplace(descriptors, ScalingFit{FitModel::constant}).first->second;
+    addOrCompare(fit, leafs, options.largest, leafsWithIdleConnection(leafs, counts),
+                 fmt::format("leafs with an idle connection, {} descriptors", descriptors));
   }
 
  private:
-  static void take(Slope& slope, int leafs, int last, double value, const std::string& what) {
-    leafs == last && !slope.sizes.empty() ? slope.compare(what, leafs, value) : slope.add(leafs, value);
+  static void addOrCompare(ScalingFit& fit, int leafs, int last, double value, const std::string& figure) {
+    leafs == last && !fit.sizes.empty() ? fit.compare(figure, leafs, value) : fit.add(leafs, value);
   }
 };
 
 }  // namespace
 
-void connectionRun(const ConnectionOptions& options) {
+void measureConnections(const ConnectionOptions& options) {
   fmt::print(
       "connections of an aggregator by leafs; {:.3g} queries/s of {} parts of {:.0f} ms: {:.0f} parts "
       "out at once, {} a connection\n",
-      kQueriesEach / options.stretch, kParts, 1e3 * kPartTime * options.stretch, kPartsEach * kPartTime,
-      options.streams);
+      kQueriesPerAggregatorPerS / options.slowdownFactor, kParts, 1e3 * kPartSeconds * options.slowdownFactor,
+      kPartsPerAggregatorPerS * kPartSeconds, options.streamsPerConnection);
   fmt::print(
       "| leafs | descriptors | slots | out, mean | out, most | held, mean | held, most | dials a sent part "
       "| computed | not sent | ms a part |\n| ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: | "
       "---: | ---: | ---: |\n");
-  ConnectionSlopes slopes;
+  ConnectionFits fits;
   auto sizes = options.sizes;
   if (options.largest > 0) sizes.push_back(options.largest);
   for (const int leafs : sizes)
-    for (const auto& [descriptors, counted] : countAt(leafs, options)) {
-      print(leafs, descriptors, counted);
+    for (const auto& [descriptors, counts] : measureAt(leafs, options)) {
+      printRow(leafs, descriptors, counts);
       std::uint64_t failed = 0;
-      for (const auto& c : counted) failed += c.failed;
-      if (failed > 0) claim(false, fmt::format("no part fails: {} did", failed));
-      slopes.take(leafs, descriptors, counted, options);
+      for (const auto& c : counts) failed += c.failed;
+      if (failed > 0) checkClaim(false, fmt::format("no part fails: {} did", failed));
+      fits.addOrCompare(leafs, descriptors, counts, options);
     }
 }
 
--- a/src/lab/scale/drop_rule.cpp
+++ b/src/lab/scale/drop_rule.cpp
@@ -13,38 +13,41 @@
 
 namespace {
 
-int cutRegion = -1, cutMembers = 0;  // region: -1: none
-bool inside = false;                 // this process's members
-
-bool across(const sockaddr* to) {
-  if (cutRegion < 0 || !to || to->sa_family != AF_INET) return false;
-  const auto* address = reinterpret_cast<const sockaddr_in*>(to);
-  const int member = memberAt(ntohl(address->sin_addr.s_addr));
-  return member >= 0 && member < cutMembers && (regionOf(member) == cutRegion) != inside;
+int isolatedRegion = -1;  // -1: no partition
+int partitionedMembers = 0;
+bool ownMembersIsolated = false;  // whether the members of this process are in the isolated region
+
+bool crossesPartition(const sockaddr* destination) {
+  if (isolatedRegion < 0 || !destination || destination->sa_family != AF_INET) return false;
+  const auto* address = reinterpret_cast<const sockaddr_in*>(destination);
+  const int member = memberOfAddress(ntohl(address->sin_addr.s_addr));
+  return member >= 0 && member < partitionedMembers &&
+         (regionOf(member) == isolatedRegion) != ownMembersIsolated;
 }
 
 }  // namespace
 
 int regionOf(int member) { return member % (2 * kRegions) / 2; }
 
-void DropRule::cut(int region, int own, int members) {
-  cutRegion = region, cutMembers = members;
-  inside = regionOf(own) == region;
+void DropRule::isolate(int region, int ownMember, int fleetSize) {
+  isolatedRegion = region;
+  partitionedMembers = fleetSize;
+  ownMembersIsolated = regionOf(ownMember) == region;
 }
-void DropRule::heal() { cutRegion = -1; }
+void DropRule::heal() { isolatedRegion = -1; }
 
 }  // namespace topazweir::lab::scale
 
-// In front of the C library's, for all that is linked into this program.
+// These override the C library's functions for everything linked into this program.
 extern "C" {
 
 ssize_t sendto(int socket, const void* bytes, size_t size, int flags, const sockaddr* to, socklen_t length) {
-  if (topazweir::lab::scale::across(to)) return static_cast<ssize_t>(size);
+  if (topazweir::lab::scale::crossesPartition(to)) return static_cast<ssize_t>(size);
   return ::syscall(SYS_sendto, socket, bytes, size, flags, to, length);
 }
 
 int connect(int socket, const sockaddr* to, socklen_t length) {
-  if (topazweir::lab::scale::across(to)) {
+  if (topazweir::lab::scale::crossesPartition(to)) {
     errno = ENETUNREACH;
     return -1;
   }
--- a/src/lab/scale/drop_rule.hpp
+++ b/src/lab/scale/drop_rule.hpp
@@ -1,17 +1,19 @@
-// A region cut off: what this process sends to the other side of the cut is dropped before it reaches a
-// socket, a datagram as if it had been lost on the way, a connection as if there were no route. Every process
-// of the fleet has the same rule and holds members of one side only, so nothing gets across.
+// Simulates a network partition that isolates one region. What this process sends to members on the other
+// side is dropped before it reaches a socket: a datagram is lost silently, a connection attempt fails with
+// ENETUNREACH. Every process of the fleet applies the same rule and holds members of one side only, so no
+// traffic crosses the partition.
 #pragma once
 
 namespace topazweir::lab::scale {
 
 inline constexpr int kRegions = 3;
-int regionOf(int member);  // as zoneOf(): two zones each
+int regionOf(int member);  // two zones per region, consistent with zoneOf()
 
 class DropRule {
  public:
-  // `own`: a member of this process. Members at or beyond `members` are on everybody's side.
-  static void cut(int region, int own, int members);
+  // Isolates `region`. `ownMember`: any member of this process, which tells on which side the process is.
+  // Members with an index of `fleetSize` or above are reachable from both sides.
+  static void isolate(int region, int ownMember, int fleetSize);
   static void heal();
 };
 
--- a/src/lab/scale/fleet_runs.cpp
+++ b/src/lab/scale/fleet_runs.cpp
@@ -11,215 +11,239 @@
 
 namespace {
 
-constexpr int kZoneStride = 2 * kRegions;  // a process holds members of one zone, so of one side of any cut
+// A process holds members of one zone only, hence of one side of any partition.
+constexpr int kMemberStride = 2 * kRegions;
 
-// One side of the cut, or both.
-Herd::Registers sum(const std::vector<Herd::Registers>& all, const std::function<bool(int region)>& wanted) {
-  Herd::Registers out;
+// Summary over the processes of the selected regions.
+HollowFleet::RegisterSummary summariseRegisters(const std::vector<HollowFleet::RegisterSummary>& all,
+                                                const std::function<bool(int region)>& includesRegion) {
+  HollowFleet::RegisterSummary out;
   bool first = true;
   for (const auto& r : all) {
-    if (!wanted(regionOf(r.first))) continue;
-    out.least = first ? r.least : std::min(out.least, r.least);
-    out.fence = first ? r.fence : std::min(out.fence, r.fence);
-    out.most = std::max(out.most, r.most), out.age = std::max(out.age, r.age);
+    if (!includesRegion(regionOf(r.firstMember))) continue;
+    out.minCommands = first ? r.minCommands : std::min(out.minCommands, r.minCommands);
+    out.minFence = first ? r.minFence : std::min(out.minFence, r.minFence);
+    out.maxCommands = std::max(out.maxCommands, r.maxCommands);
+    out.maxAgeSeconds = std::max(out.maxAgeSeconds, r.maxAgeSeconds);
     out.hashes.insert(r.hashes.begin(), r.hashes.end());
     first = false;
   }
   return out;
 }
 
-class RegionCut {
+class RegionPartition {
  public:
-  RegionCut(const CutOptions& options, std::uint64_t seed)
-      : options_(options), herd_(hollow(options, seed, folder_), options.perProcess) {}
+  RegionPartition(const CutOptions& options, std::uint64_t seed)
+      : options_(options), fleet_(memberOptions(options, seed, directory_), options.membersPerProcess) {}
 
   void run() {
     if (!prepare()) return;
-    const double cutAt = cut();
-    const auto inside = sum(herd_.registers(), [this](int r) { return isCut(r); });
-    const auto outside = sum(herd_.registers(), [this](int r) { return !isCut(r); });
-    const auto whileCut = herd_.metered();
-    const double lasted = Herd::now() - cutAt;
-    claim(inside.most < outside.least, fmt::format("the region keeps what it had: {:.0f} commands at most, "
-                                                   "{:.0f} at least on the other side",
-                                                   inside.most, outside.least));
-    claim(inside.age >= 0.8 * lasted, "its age shows that it is cut off");
-    claim(outside.age < 0.2 * lasted, "the others' does not");
-    print("while cut", lasted, inside.age, outside.least - inside.least, whileCut);
+    const double isolatedAt = isolateRegion();
+    const auto inside =
+        summariseRegisters(fleet_.registerSummaries(), [this](int r) { return isIsolated(r); });
+    const auto outside =
+        summariseRegisters(fleet_.registerSummaries(), [this](int r) { return !isIsolated(r); });
+    const auto peakTraffic = fleet_.takePeakTraffic();
+    const double isolatedSeconds = HollowFleet::unixSeconds() - isolatedAt;
+    checkClaim(inside.maxCommands < outside.minCommands,
+               fmt::format("the region keeps what it had: {:.0f} commands at most, "
+                           "{:.0f} at least on the other side",
+                           inside.maxCommands, outside.minCommands));
+    checkClaim(inside.maxAgeSeconds >= 0.8 * isolatedSeconds, "its age shows that it is cut off");
+    checkClaim(outside.maxAgeSeconds < 0.2 * isolatedSeconds, "the others' does not");
+    printRow("while cut", isolatedSeconds, inside.maxAgeSeconds, outside.minCommands - inside.minCommands,
+             peakTraffic);
     heal(outside);
   }
 
  private:
-  static HollowOptions hollow(const CutOptions& options, std::uint64_t seed, const Folder& folder) {
+  static HollowOptions memberOptions(const CutOptions& options, std::uint64_t seed,
+                                     const TemporaryDirectory& directory) {
     RunOptions run;
     run.keys = options.keys;
-    auto out = hollowOf(run, options.members, options.periodSeconds, folder);
-    out.seeded = true, out.stride = kZoneStride, out.seed = seed;
+    auto out = hollowOptions(run, options.members, options.periodSeconds, directory);
+    out.votersAsSeeds = true;
+    out.stride = kMemberStride;
+    out.seed = seed;
     return out;
   }
-  bool isCut(int region) const { return region == options_.region; }
-  static bool any(int) { return true; }
+  bool isIsolated(int region) const { return region == options_.region; }
+  static bool anyRegion(int) { return true; }
 
   bool prepare() {
     const double period = options_.periodSeconds;
-    const bool met = herd_.meet(5 * period, 120);
-    claim(met, fmt::format("all of {} know each other", options_.members));
-    const bool level =
-        met && herd_.wait(60 * period, [&] { return herd_.others().leastCommands >= options_.keys; });
-    claim(level, "all hold the register");
-    if (!level || !cutLeaderLeads()) return false;
-    // What a start of all costs is not a cut's.
-    const bool fresh =
-        herd_.wait(60 * period, [&] { return sum(herd_.registers(), any).age < kFresh * period; });
-    claim(fresh, "the register is fresh everywhere");
+    const bool connected = fleet_.startAndConverge(5 * period, 120);
+    checkClaim(connected, fmt::format("all of {} know each other", options_.members));
+    const bool converged = connected && fleet_.waitUntil(60 * period, [&] {
+      return fleet_.otherStats().minCommands >= options_.keys;
+    });
+    checkClaim(converged, "all hold the register");
+    if (!converged || !makeIsolatedVoterLead()) return false;
+    // Waits until the traffic of the simultaneous start is over, so that it is not attributed to the
+    // partition.
+    const bool fresh = fleet_.waitUntil(60 * period, [&] {
+      return summariseRegisters(fleet_.registerSummaries(), anyRegion).maxAgeSeconds <
+             kMaxFreshAgePeriods * period;
+    });
+    checkClaim(fresh, "the register is fresh everywhere");
     return fresh;
   }
 
-  // So that what it has under way when it is cut off must not come back over what the others have agreed on.
-  bool cutLeaderLeads() {
-    int wanted = -1;
+  // Makes the only voter of the isolated region the leader: what it has uncommitted when it is isolated must
+  // not override what the other voters commit meanwhile.
+  bool makeIsolatedVoterLead() {
+    int isolatedVoter = -1;
     for (int v = 0; v < kVoters; ++v)
-      if (isCut(regionOf(v))) wanted = wanted < 0 ? v : kVoters;
-    if (wanted < 0) return true;  // a region without voters
-    const auto leads = [&] { return herd_.leader() == wanted; };
-    for (int i = 0; i < kTries && !leads(); ++i) {
-      const int leader = herd_.leader();
-      if (leader >= 0) herd_.all(fmt::format("kill {}", leader));
-      herd_.wait(20 * options_.periodSeconds,
-                 [&] { return herd_.leader() >= 0 && herd_.leader() != leader; });
-      if (leader >= 0) herd_.all(fmt::format("again {}", leader));
-      herd_.sleep(2 * options_.periodSeconds);
+      if (isIsolated(regionOf(v))) isolatedVoter = isolatedVoter < 0 ? v : kVoters;
+    if (isolatedVoter < 0) return true;  // the region has no voters
+    const auto leads = [&] { return fleet_.leader() == isolatedVoter; };
+    for (int i = 0; i < kMaxLeaderAttempts && !leads(); ++i) {
+      const int leader = fleet_.leader();
+      if (leader >= 0) fleet_.sendToAll(fmt::format("kill {}", leader));
+      fleet_.waitUntil(20 * options_.periodSeconds,
+                       [&] { return fleet_.leader() >= 0 && fleet_.leader() != leader; });
+      if (leader >= 0) fleet_.sendToAll(fmt::format("again {}", leader));
+      fleet_.sleep(2 * options_.periodSeconds);
     }
-    leaderCut_ = leads();
-    claim(leaderCut_, "the only voter of the region leads");
-    return leaderCut_;
+    leaderIsolated_ = leads();
+    checkClaim(leaderIsolated_, "the only voter of the region leads");
+    return leaderIsolated_;
   }
 
-  double cut() {
-    fence_ = sum(herd_.registers(), any).fence;
-    herd_.metered();
-    herd_.all(
-        fmt::format("change {} {}", options_.changes, static_cast<long>(1000 * options_.changeSeconds)));
-    herd_.sleep(2 * options_.periodSeconds);
-    const double at = Herd::now();
-    herd_.all(fmt::format("cut {}", options_.region));
-    herd_.sleep(options_.cutSeconds);
+  double isolateRegion() {
+    fenceBefore_ = summariseRegisters(fleet_.registerSummaries(), anyRegion).minFence;
+    fleet_.takePeakTraffic();
+    fleet_.sendToAll(fmt::format("change {} {}", options_.changes,
+                                 static_cast<long>(1000 * options_.changeIntervalSeconds)));
+    fleet_.sleep(2 * options_.periodSeconds);
+    const double at = HollowFleet::unixSeconds();
+    fleet_.sendToAll(fmt::format("cut {}", options_.region));
+    fleet_.sleep(options_.cutSeconds);
     return at;
   }
 
-  void heal(const Herd::Registers& outside) {
-    const double at = Herd::now();
-    const auto before = herd_.others();
-    herd_.all("heal");
-    levelAgain(outside);
-    const bool known = herd_.wait(kLimit * options_.periodSeconds, [&] {
+  void heal(const HollowFleet::RegisterSummary& outside) {
+    const double at = HollowFleet::unixSeconds();
+    const auto before = fleet_.otherStats();
+    fleet_.sendToAll("heal");
+    checkConvergence(outside);
+    const bool allAlive = fleet_.waitUntil(kConvergeLimitPeriods * options_.periodSeconds, [&] {
       const double n = options_.members;
-      return herd_.others().leastAlive == n && herd_.voters().leastAlive == n;
+      return fleet_.otherStats().minAlive == n && fleet_.voterStats().minAlive == n;
     });
-    claim(known, "all know each other again");
-    const double time = Herd::now() - at;
-    const auto spent = herd_.others() - before;
-    print("back", time, sum(herd_.registers(), any).age, 0, herd_.metered());
+    checkClaim(allAlive, "all know each other again");
+    const double time = HollowFleet::unixSeconds() - at;
+    const auto traffic = fleet_.otherStats() - before;
+    printRow("back", time, summariseRegisters(fleet_.registerSummaries(), anyRegion).maxAgeSeconds, 0,
+             fleet_.takePeakTraffic());
     fmt::print("{:.0f} bytes/s sent by a member in the mean, {:.0f} whole registers asked for\n",
-               (spent.sentBytes + spent.streamSent) / spent.running / time, spent.asked);
+               (traffic.sentBytes + traffic.streamSentBytes) / traffic.running / time,
+               traffic.registerRequests);
     std::fflush(stdout);
   }
 
-  void levelAgain(const Herd::Registers& outside) {
-    const double at = Herd::now();
-    const auto before = herd_.voters();
-    const bool level = herd_.wait(kLimit * options_.periodSeconds,
-                                  [&] { return sum(herd_.registers(), any).hashes.size() == 1; });
-    const auto spent = herd_.voters() - before;
-    fmt::print("level after {:.1f} s, {:.0f} bytes sent by a voter until then\n", Herd::now() - at,
-               (spent.sentBytes + spent.streamSent) / kVoters);
-    claim(level, "all hold one register again");
-    const auto after = sum(herd_.registers(), any);
-    claim(after.least >= outside.most,
-          "and it is that of the voters that went on: nothing of theirs is undone");
-    const bool rises = leaderCut_ ? outside.fence > fence_ : outside.fence >= fence_;
-    claim(rises && after.fence >= outside.fence,
-          fmt::format(
-              "the later fence of the coordinator wins: {:.0f} everywhere, {:.0f} while cut, {:.0f} before{}",
-              after.fence, outside.fence, fence_, leaderCut_ ? " with its leader cut off" : ""));
+  void checkConvergence(const HollowFleet::RegisterSummary& outside) {
+    const double at = HollowFleet::unixSeconds();
+    const auto before = fleet_.voterStats();
+    const bool converged = fleet_.waitUntil(kConvergeLimitPeriods * options_.periodSeconds, [&] {
+      return summariseRegisters(fleet_.registerSummaries(), anyRegion).hashes.size() == 1;
+    });
+    const auto traffic = fleet_.voterStats() - before;
+    fmt::print("level after {:.1f} s, {:.0f} bytes sent by a voter until then\n",
+               HollowFleet::unixSeconds() - at, (traffic.sentBytes + traffic.streamSentBytes) / kVoters);
+    checkClaim(converged, "all hold one register again");
+    const auto after = summariseRegisters(fleet_.registerSummaries(), anyRegion);
+    checkClaim(after.minCommands >= outside.maxCommands,
+               "and it is that of the voters that went on: nothing of theirs is undone");
+    const bool rises = leaderIsolated_ ? outside.minFence > fenceBefore_ : outside.minFence >= fenceBefore_;
+    checkClaim(
+        rises && after.minFence >= outside.minFence,
+        fmt::format(
+            "the later fence of the coordinator wins: {:.0f} everywhere, {:.0f} while cut, {:.0f} before{}",
+            after.minFence, outside.minFence, fenceBefore_,
+            leaderIsolated_ ? " with its leader cut off" : ""));
   }
 
-  void print(const char* what, double seconds, double age, double behind, const Herd::Metered& most) const {
+  void printRow(const char* phase, double seconds, double age, double changesBehind,
+                const HollowFleet::PeakTraffic& most) const {
     fmt::print(
         "{:<10} {:>6.1f} s, age {:>5.1f} s, {:>4.0f} changes behind; bytes in the worst second: voter {:.0f} "
         "out, {:.0f} in, member {:.0f} out, {:.0f} in\n",
-        what, seconds, age, behind, most.voterSent, most.voterReceived, most.memberSent, most.memberReceived);
+        phase, seconds, age, changesBehind, most.voterSent, most.voterReceived, most.memberSent,
+        most.memberReceived);
     std::fflush(stdout);
   }
 
-  static constexpr int kTries = 8;
-  static constexpr double kLimit = 120;  // periods
-  static constexpr double kFresh = 3;
+  static constexpr int kMaxLeaderAttempts = 8;
+  static constexpr double kConvergeLimitPeriods = 120;
+  static constexpr double kMaxFreshAgePeriods = 3;
   CutOptions options_;
-  Folder folder_;
-  Herd herd_;
-  bool leaderCut_ = false;
-  double fence_ = 0;  // the coordinator's, before
+  TemporaryDirectory directory_;
+  HollowFleet fleet_;
+  bool leaderIsolated_ = false;
+  double fenceBefore_ = 0;  // of the coordinator role, before the partition
 };
 
 }  // namespace
 
-void cutRun(const CutOptions& options) {
+void measureRegionCut(const CutOptions& options) {
   for (const auto seed : options.seeds) {
     fmt::print(
         "region {} of {} cut off: {} members, {} keys, {} changes, one in {} s, period {} s, seed {}\n",
-        options.region, kRegions, options.members, options.keys, options.changes, options.changeSeconds,
-        options.periodSeconds, seed);
-    RegionCut(options, seed).run();
+        options.region, kRegions, options.members, options.keys, options.changes,
+        options.changeIntervalSeconds, options.periodSeconds, seed);
+    RegionPartition(options, seed).run();
   }
 }
 
 namespace {
 
-struct Start {
-  double level = 0;                      // seconds until all have the register
-  double voterBytes = 0, mostBytes = 0;  // sent by a voter until then; by one in a second
-  double memberBytes = 0;                // received by a member until then
+struct ColdStart {
+  double convergedSeconds = 0;  // seconds until all members have the register
+  double voterBytes = 0,
+         peakVoterBytes = 0;  // mean of a voter until then, and the most of one voter in a second
+  double memberBytes = 0;     // received by a member until then, in the mean
 };
 
-Start startOf(const RunOptions& options, int members, int keys) {
-  Folder folder;
-  auto some = options;
-  some.keys = keys;
-  auto hollow = hollowOf(some, members, options.periodSeconds, folder);
-  hollow.seeded = true, hollow.told = false;
-  Herd herd(hollow, options.perProcess);
-  herd.metered();
-  herd.begin(options.periodSeconds);
-  const double at = Herd::now();
-  const bool level = herd.wait(120 * options.periodSeconds, [&] {
-    const auto others = herd.others();
-    return others.running == members - kVoters && others.leastCommands >= keys;
+ColdStart measureStart(const RunOptions& options, int members, int keys) {
+  TemporaryDirectory directory;
+  auto keyedOptions = options;
+  keyedOptions.keys = keys;
+  auto memberOptions = hollowOptions(keyedOptions, members, options.periodSeconds, directory);
+  memberOptions.votersAsSeeds = true;
+  memberOptions.announced = false;
+  HollowFleet fleet(memberOptions, options.membersPerProcess);
+  fleet.takePeakTraffic();
+  fleet.start(options.periodSeconds);
+  const double at = HollowFleet::unixSeconds();
+  const bool converged = fleet.waitUntil(120 * options.periodSeconds, [&] {
+    const auto others = fleet.otherStats();
+    return others.running == members - kVoters && others.minCommands >= keys;
   });
-  Start out;
-  out.level = Herd::now() - at;
-  claim(level, fmt::format("all of {} members hold {} keys", members, keys));
-  const auto voters = herd.voters(), others = herd.others();
-  out.voterBytes = (voters.sentBytes + voters.streamSent) / kVoters;
-  out.memberBytes = (others.receivedBytes + others.streamReceived) / others.running;
-  out.mostBytes = herd.metered().voterSent;
+  ColdStart out;
+  out.convergedSeconds = HollowFleet::unixSeconds() - at;
+  checkClaim(converged, fmt::format("all of {} members hold {} keys", members, keys));
+  const auto voters = fleet.voterStats(), others = fleet.otherStats();
+  out.voterBytes = (voters.sentBytes + voters.streamSentBytes) / kVoters;
+  out.memberBytes = (others.receivedBytes + others.streamReceivedBytes) / others.running;
+  out.peakVoterBytes = fleet.takePeakTraffic().voterSent;
   return out;
 }
 
 }  // namespace
 
-void startRun(const RunOptions& options, const std::vector<int>& keys) {
+void measureColdStart(const RunOptions& options, const std::vector<int>& keys) {
   fmt::print("all start at once, within a period of {} s, and hold nothing\n", options.periodSeconds);
   fmt::print("{:>8} {:>8} {:>8} {:>14} {:>16} {:>16}\n", "keys", "members", "level s", "voter bytes",
              "in worst second", "member bytes in");
   auto sizes = options.sizes;
   if (options.largest > 0) sizes.push_back(options.largest);
   for (const int count : keys) {
-    Slope bytes;
+    ScalingFit bytes;
     for (const int members : sizes) {
-      const auto s = startOf(options, members, count);
-      fmt::print("{:>8} {:>8} {:>8.1f} {:>14.0f} {:>16.0f} {:>16.0f}\n", count, members, s.level,
-                 s.voterBytes, s.mostBytes, s.memberBytes);
+      const auto s = measureStart(options, members, count);
+      fmt::print("{:>8} {:>8} {:>8.1f} {:>14.0f} {:>16.0f} {:>16.0f}\n", count, members, s.convergedSeconds,
+                 s.voterBytes, s.peakVoterBytes, s.memberBytes);
       std::fflush(stdout);
       if (members != options.largest) {
         bytes.add(members, s.voterBytes);
--- a/src/lab/scale/fleet_runs.hpp
+++ b/src/lab/scale/fleet_runs.hpp
@@ -1,4 +1,5 @@
-// Runs of hollow fleets through what happens to them as a whole: a region cut off, a start of all.
+// Measurements of fleets of hollow members through fleet-wide events: a region that is isolated by a network
+// partition, and a simultaneous start of all members.
 #pragma once
 
 #include "lab/scale/socket_runs.hpp"
@@ -6,16 +7,22 @@
 namespace topazweir::lab::scale {
 
 struct CutOptions {
-  int members = 250, keys = 300, region = 1, perProcess = 25;
-  double periodSeconds = 1, cutSeconds = 60;
-  int changes = 60;
-  double changeSeconds = 1;  // between two of them
+  int members = 250;
+  int keys = 300;  // of the register
+  int region = 1;  // the region to isolate
+  int membersPerProcess = 25;
+  double periodSeconds = 1;  // between two probes of a member
+  double cutSeconds = 60;    // duration of the partition
+  int changes = 60;          // of the register, proposed during the run
+  double changeIntervalSeconds = 1;
   std::vector<std::uint64_t> seeds{1};
 };
-// A region is cut off, and with it the voter that leads where it has one; the others go on; it comes back.
-void cutRun(const CutOptions& options);
+// Isolates a region, including the Raft leader if the region has a voter, while the rest of the fleet goes on
+// changing the register; then heals the partition and checks that the fleet converges.
+void measureRegionCut(const CutOptions& options);
 
-// All start at once, the voters with the register, the others with nothing; by keys and members.
-void startRun(const RunOptions& options, const std::vector<int>& keys);
+// Starts all members at once; the voters have the register, the others start empty. One table row per number
+// of keys and members.
+void measureColdStart(const RunOptions& options, const std::vector<int>& keys);
 
 }  // namespace topazweir::lab::scale
--- a/src/lab/scale/fleet_setup.hpp
+++ b/src/lab/scale/fleet_setup.hpp
@@ -1,4 +1,5 @@
-// What the runs of hollow fleets begin with: a folder for the voters, members' options, and small figures.
+// Shared setup of the measurements with hollow members: a directory for the voters' state, options of the
+// members, and a quantile function.
 #pragma once
 
 #include <unistd.h>
@@ -16,42 +17,45 @@
 
 inline constexpr int kVoters = 3;
 
-// A folder for the voters' words, away with the run.
-class Folder {
+// A temporary directory for the voters' persistent state; removed on destruction.
+class TemporaryDirectory {
  public:
-  Folder() {
+  TemporaryDirectory() {
     static int count = 0;
     path_ =
         std::filesystem::temp_directory_path() / fmt::format("topazweir-scale-{}-{}", ::getpid(), ++count);
     std::filesystem::create_directories(path_);
   }
-  ~Folder() {
+  ~TemporaryDirectory() {
     std::error_code ignored;
     std::filesystem::remove_all(path_, ignored);
   }
-  Folder(const Folder&) = delete;
-  Folder& operator=(const Folder&) = delete;
+  TemporaryDirectory(const TemporaryDirectory&) = delete;
+  TemporaryDirectory& operator=(const TemporaryDirectory&) = delete;
   std::string path() const { return path_.string(); }
 
  private:
   std::filesystem::path path_;
 };
 
-// Of a relay set aside, in the mean.
-inline double childrenOf(const RunOptions& options, int members) {
+// Mean number of children of a dedicated relay; 0 without dedicated relays.
+inline double childrenPerRelay(const RunOptions& options, int members) {
   return options.relays == 0 ? 0 : static_cast<double>(members - kVoters - options.relays) / options.relays;
 }
 
-inline HollowOptions hollowOf(const RunOptions& options, int members, double period, const Folder& folder) {
+inline HollowOptions hollowOptions(const RunOptions& options, int members, double periodSeconds,
+                                   const TemporaryDirectory& directory) {
   HollowOptions out;
-  out.members = members, out.voters = kVoters, out.keys = options.keys;
-  out.period = static_cast<Nanos>(period * 1e9);
-  out.state = folder.path();
-  // Below the ports that the machine gives out itself; runs side by side have different ones.
+  out.fleetSize = members;
+  out.voters = kVoters;
+  out.keys = options.keys;
+  out.period = static_cast<Nanos>(periodSeconds * 1e9);
+  out.stateDirectory = directory.path();
+  // Ports below the ephemeral range; derived from the process id so that concurrent runs do not collide.
   static int fleets = 0;
   out.port = (options.port > 0 ? options.port : 17'000 + ::getpid() % 1000 * 10) + fleets++ % 5;
   out.relays = options.relays;
-  out.changeBytesPerS = static_cast<std::size_t>(options.bytesAChild * childrenOf(options, members));
+  out.changeBytesPerS = static_cast<std::size_t>(options.bytesPerChild * childrenPerRelay(options, members));
   return out;
 }
 
--- a/src/lab/scale/herd.hpp
+++ b/src/lab/scale/herd.hpp
@@ -1,5 +1,5 @@
-// The processes of hollow members, as the scale runs hold them: voters one each, the others many to a
-// process.
+// Starts and controls the processes of a fleet of hollow members: one process for each voter and each
+// dedicated relay, many members per process for the rest.
 #pragma once
 
 #include <sys/types.h>
@@ -14,84 +14,97 @@
 
 namespace topazweir::lab::scale {
 
-// Sums over processes; what is the least or most is said so.
-struct Stat {
-  double cpuMicros = 0, maxRss = 0, rss = 0;  // KiB
-  double running = 0, leastAlive = 0, mostAlive = 0;
-  double sent = 0, sentBytes = 0, received = 0, receivedBytes = 0, unsent = 0, brokenMessages = 0;
-  double connected = 0, accepted = 0, leftOut = 0, streamSent = 0, streamReceived = 0;
-  double leastCommands = 0, mostCommands = 0;
-  double latest = 0;               // ms by which a loop was late, at most, since the last look
-  double proposed = 0, asked = 0;  // changes; whole registers asked for at a voter
-  Stat operator-(const Stat& before) const;
-  Stat& operator+=(const Stat& other);
+// Sums over processes, except for the minima and maxima, which are named so.
+struct ProcessStats {
+  double cpuMicros = 0;
+  double maxRssKib = 0;  // above that of a process before its members start
+  double rssKib = 0;
+  double running = 0;                 // members
+  double minAlive = 0, maxAlive = 0;  // number of members that a member considers alive
+  double sent = 0, sentBytes = 0, received = 0, receivedBytes = 0;  // datagrams
+  double unsent = 0, malformedMessages = 0;
+  double connected = 0, accepted = 0, droppedExchanges = 0, streamSentBytes = 0, streamReceivedBytes = 0;
+  double minCommands = 0, maxCommands = 0;  // applied to a member's register
+  double maxLoopDelayMs = 0;                // largest delay of an event loop since the previous query
+  double changesProposed = 0;
+  double registerRequests = 0;  // full registers requested from voters
+  // Differences of the counters since `before`; gauges keep their present values.
+  ProcessStats operator-(const ProcessStats& before) const;
+  ProcessStats& operator+=(const ProcessStats& other);
 };
 
-class Herd {
+class HollowFleet {
  public:
-  // Prints what it will use. Throws std::runtime_error, in words, where that is over half of the machine's
-  // memory, two hundred processes or the limit of descriptors.
-  Herd(const HollowOptions& options, int perProcess);
-  ~Herd();  // ends what it has started, by closing its input
-  Herd(const Herd&) = delete;
-  Herd& operator=(const Herd&) = delete;
+  // Prints the resources that it will use. Throws std::runtime_error if they exceed half of the machine's
+  // memory, two hundred processes or the descriptor limit.
+  HollowFleet(const HollowOptions& options, int membersPerProcess);
+  ~HollowFleet();  // ends its processes by closing their input, and waits for them
+  HollowFleet(const HollowFleet&) = delete;
+  HollowFleet& operator=(const HollowFleet&) = delete;
 
-  // To all processes; one answer each, in their order. Throws where one has ended or has failed.
-  std::vector<std::string> all(const std::string& line);
-  std::string voter(int i, const std::string& line);
-  // Starts all over this time, and waits until all know all; false: not within the limit.
-  bool meet(double overSeconds, double limitSeconds);
-  // The same in two steps, for fleets side by side.
-  void begin(double overSeconds);
-  bool met(double limitSeconds);
-  Stat voters(), others();  // relays are among the others
-  Stat relays();
-  bool wait(double limitSeconds, const std::function<bool()>& what);
-  int leader();  // -1: none
+  // Sends a command to all processes and returns their answers in order. Throws std::runtime_error if a
+  // process has exited, does not answer or reports a failure.
+  std::vector<std::string> sendToAll(const std::string& line);
+  std::string sendToVoter(int i, const std::string& line);
+  // Starts all members, spread over `overSeconds`, and waits until each considers all others alive. Returns
+  // false if that takes longer than the limit.
+  bool startAndConverge(double overSeconds, double limitSeconds);
+  // The two steps of startAndConverge(), for fleets that run concurrently.
+  void start(double overSeconds);
+  bool waitUntilConverged(double limitSeconds);
+  ProcessStats voterStats();
+  ProcessStats otherStats();  // of all non-voters, including dedicated relays
+  ProcessStats relayStats();
+  // Polls the condition; false if it does not hold within the limit.
+  bool waitUntil(double limitSeconds, const std::function<bool()>& condition);
+  int leader();  // index of the voter that leads the Raft group; -1: none
   void sleep(double seconds) const;
-  static double now();  // seconds of Unix time, as the members' loops have it
+  static double unixSeconds();  // the same clock as the members' event loops
 
-  // Seconds after `since` at which the members hold this one to have failed.
-  std::vector<double> seen();
-  // By number of the change: seconds of each voter's and each other member's taking it, after `epoch`.
+  // When each member declared the watched member failed: seconds after the time given to "watch", sorted.
+  std::vector<double> failureDetectionTimes();
+  // By number of the change: the times at which the voters and the other members applied it, in seconds after
+  // the time given to "record".
   struct Arrivals {
     std::map<long, std::vector<double>> voters, others;
   };
   Arrivals arrivals();
 
-  // Of one process's members that run, or of several.
-  struct Registers {
-    int first = 0;                   // member of the process
-    double least = 0, most = 0;      // commands
-    double age = 0;                  // s, the greatest; over 10^5: one was never vouched for
-    double fence = 0;                // of the coordinator's role, the least
-    std::set<std::string> hashes{};  // of those that differ
+  // The registers of the running members of one or several processes.
+  struct RegisterSummary {
+    int firstMember = 0;  // index of the process's first member
+    double minCommands = 0, maxCommands = 0;
+    double maxAgeSeconds = 0;        // above 10^5: the freshness of one was never confirmed
+    double minFence = 0;             // of the coordinator's role
+    std::set<std::string> hashes{};  // of the distinct contents
   };
-  std::vector<Registers> registers();  // by process
-  struct Metered {                     // bytes of the one that had most in any second
+  std::vector<RegisterSummary> registerSummaries();  // by process
+  // The most bytes that a single voter or other member sent or received in any one second.
+  struct PeakTraffic {
     double voterSent = 0, voterReceived = 0, memberSent = 0, memberReceived = 0;
   };
-  Metered metered();  // since the last call; the first one begins
+  PeakTraffic takePeakTraffic();  // since the previous call; the first call starts the measurement
 
  private:
   struct Process {
-    pid_t id = -1;
-    int to = -1, from = -1;
-    int first = 0, count = 0;
-    std::string input;
-    double baseRss = 0;
+    pid_t pid = -1;
+    int commandFd = -1, answerFd = -1;
+    int firstMember = 0, memberCount = 0;
+    std::string unreadInput;
+    double baseRssKib = 0;  // before its members start
   };
-  void check(int perProcess) const;
-  void spawn(int first, int count);
-  void tell(Process& process, const std::string& line) const;
-  std::string hear(Process& process) const;
-  Stat stat(std::size_t from, std::size_t to);
+  void checkLimits(int membersPerProcess) const;
+  void spawn(int firstMember, int memberCount);
+  void writeCommand(Process& process, const std::string& line) const;
+  std::string readAnswer(Process& process) const;
+  ProcessStats sumStats(std::size_t from, std::size_t to);
 
-  int alone() const { return options_.voters + options_.relays; }  // members with a process of their own
+  // Voters and dedicated relays have a process each.
+  int dedicatedProcesses() const { return options_.voters + options_.relays; }
 
   HollowOptions options_;
-  double begun_ = 0, over_ = 0;
-  std::vector<Process> processes_;  // the voters' first
+  double startedAt_ = 0, startSpreadSeconds_ = 0;
+  std::vector<Process> processes_;  // the voters' first, then the dedicated relays'
 };
 
 }  // namespace topazweir::lab::scale
--- a/src/lab/scale/hollow.cpp
+++ b/src/lab/scale/hollow.cpp
@@ -27,8 +27,9 @@
 
 namespace {
 
-constexpr Nanos kMs = 1'000'000, kLook = 10 * kMs;
-constexpr Nanos kNever = 1'000'000'000;  // ms
+constexpr Nanos kMs = 1'000'000;
+constexpr Nanos kPollInterval = 10 * kMs;
+constexpr Nanos kNeverFreshMs = 1'000'000'000;  // age of a register whose freshness was never confirmed
 
 struct HollowHost : fleet::Host {
   membership::LoadMeter::Totals load() const override { return {120, 0, 0}; }
@@ -36,10 +37,10 @@
   bool accompanied() const override { return false; }
 };
 
-// Lines of standard input, read beside the loop.
-class Lines {
+// Lines of standard input, read by a thread of their own.
+class InputLines {
  public:
-  Lines() : reader_([this] { read(); }) { reader_.detach(); }
+  InputLines() : reader_([this] { read(); }) { reader_.detach(); }
   bool next(std::string& line) {
     const std::lock_guard guard(mutex_);
     if (lines_.empty()) return false;
@@ -55,57 +56,60 @@
       const std::lock_guard guard(mutex_);
       lines_.push_back(std::move(line));
     }
-    ::_exit(0);  // the parent has gone: nothing is to be kept
+    ::_exit(0);  // the parent has exited; there is nothing to save
   }
   std::mutex mutex_;
   std::deque<std::string> lines_;
   std::thread reader_;
 };
 
-class Hollow {
+class HollowProcess {
  public:
-  explicit Hollow(const HollowOptions& options)
+  explicit HollowProcess(const HollowOptions& options)
       : options_(options), log_([](auto, auto) {}, [this] { return loop_.now(); }) {}
 
   int run() {
-    look();
+    poll();
     loop_.run();
     return 0;
   }
 
  private:
-  struct Traffic {  // bytes, datagrams and streams
+  struct Traffic {  // bytes of datagrams and streams
     std::uint64_t sent = 0, received = 0;
   };
   struct Member {
-    std::unique_ptr<fleet::Side> side;
-    std::uint64_t commands = 0;  // as last looked at
-    fleet::Counters before{};    // of its earlier lives
+    std::unique_ptr<fleet::Side> service;
+    std::uint64_t commands = 0;        // at the last poll
+    fleet::Counters countersBefore{};  // of its earlier incarnations
     fleet::Streams::Counters streamsBefore{};
-    Traffic traffic{};  // as last metered
+    Traffic sampledTraffic{};  // at the last sample
   };
 
-  config::Membership configOf(int i) const {
+  config::Membership configFor(int i) const {
     config::Membership out;
-    out.name = memberName(i), out.fleet = kFleet;
-    out.listen = out.advertise = addressOf(i, options_.port);
+    out.name = memberName(i);
+    out.fleet = kHollowFleetName;
+    out.listen = out.advertise = memberAddress(i, options_.port);
     out.zone = zoneOf(i);
     for (int v = 0; v < options_.voters; ++v) {
-      out.voters.push_back({memberName(v), addressOf(v, options_.port)});
-      if (options_.seeded) out.seeds.push_back(addressOf(v, options_.port));
+      out.voters.push_back({memberName(v), memberAddress(v, options_.port)});
+      if (options_.votersAsSeeds) out.seeds.push_back(memberAddress(v, options_.port));
     }
-    if (i < options_.voters) out.state = options_.state;
+    if (i < options_.voters) out.state = options_.stateDirectory;
     for (int r = 0; r < options_.relays; ++r) out.relays.push_back(memberName(options_.voters + r));
     const bool relays = i >= options_.voters && i < options_.voters + options_.relays;
     if (relays && options_.changeBytesPerS > 0) out.changeBytesPerS = options_.changeBytesPerS;
-    out.period = options_.period, out.answerTime = options_.period * 2 / 5;
-    out.syncEvery = 30 * options_.period, out.forgetAfter = 600 * options_.period;
+    out.period = options_.period;
+    out.answerTime = options_.period * 2 / 5;
+    out.syncEvery = 30 * options_.period;
+    out.forgetAfter = 600 * options_.period;
     return out;
   }
 
-  // A voter begins with the register given, as if it had been agreed on.
+  // Writes the initial register to the voter's store as if it had been committed.
   void prepare(int i) const {
-    const auto path = options_.state + "/voter." + kFleet + "." + memberName(i);
+    const auto path = options_.stateDirectory + "/voter." + kHollowFleetName + "." + memberName(i);
     if (options_.keys == 0 || ::access(path.c_str(), F_OK) == 0) return;
     agreement::FileStore store(path);
     store.setTerm(1);
@@ -114,67 +118,78 @@
 
   void start(int i) {
     auto& member = members_[i];
-    if (member.side) return;
+    if (member.service) return;
     if (i < options_.voters) prepare(i);
-    const auto seed = 1'000'003U * (static_cast<std::uint64_t>(i) + 5000 * options_.seed) + ++lives_;
-    member.side = std::make_unique<fleet::Side>(loop_, log_, configOf(i), "1.14.2", seed,
-                                                membership::Share{options_.members, i}, host_);
-    member.side->start();
-    member.side->says(membership::Duty::serving);
+    const auto seed = 1'000'003U * (static_cast<std::uint64_t>(i) + 5000 * options_.seed) + ++incarnations_;
+    member.service = std::make_unique<fleet::Side>(loop_, log_, configFor(i), "1.14.2", seed,
+                                                   membership::Share{options_.fleetSize, i}, host_);
+    member.service->start();
+    member.service->says(membership::Duty::serving);
   }
   void stop(int i) {
     const auto at = members_.find(i);
-    if (at == members_.end() || !at->second.side) return;
-    add(at->second.before, at->second.side->counters());
-    if (const auto* streams = at->second.side->streams()) add(at->second.streamsBefore, streams->counters());
-    at->second.side->stop();
-    at->second.side.reset();
+    if (at == members_.end() || !at->second.service) return;
+    add(at->second.countersBefore, at->second.service->counters());
+    if (const auto* streams = at->second.service->streams())
+      add(at->second.streamsBefore, streams->counters());
+    at->second.service->stop();
+    at->second.service.reset();
   }
   static void add(fleet::Counters& to, const fleet::Counters& c) {
-    to.sent += c.sent, to.sentBytes += c.sentBytes, to.received += c.received;
-    to.receivedBytes += c.receivedBytes, to.broken += c.broken, to.unsent += c.unsent,
-        to.registerAsked += c.registerAsked;
+    to.sent += c.sent;
+    to.sentBytes += c.sentBytes;
+    to.received += c.received;
+    to.receivedBytes += c.receivedBytes;
+    to.broken += c.broken;
+    to.unsent += c.unsent;
+    to.registerAsked += c.registerAsked;
   }
   static void add(fleet::Streams::Counters& to, const fleet::Streams::Counters& c) {
-    to.connected += c.connected, to.accepted += c.accepted, to.leftOut += c.leftOut;
-    to.sentBytes += c.sentBytes, to.receivedBytes += c.receivedBytes;
+    to.connected += c.connected;
+    to.accepted += c.accepted;
+    to.leftOut += c.leftOut;
+    to.sentBytes += c.sentBytes;
+    to.receivedBytes += c.receivedBytes;
   }
 
-  // Who is there, as the answer to a full exchange says it: told to those that don't know all, a few at a
-  // time.
-  void tellAll() {
-    membership::Message all{.kind = membership::Kind::syncReply, .sender = memberName(options_.first)};
-    all.from = addressOf(options_.first, options_.port);
-    for (int i = 0; i < options_.members; ++i) {
-      auto record = memberRecord(i, addressOf(i, options_.port));
-      record.version = "1.14.2" + std::string(fleet::kDisseminates);  // as it says itself
+  // Sends the full member list, as the answer to a full exchange, to members that do not know all others;
+  // spread over time.
+  void announceFleet() {
+    membership::Message all{.kind = membership::Kind::syncReply, .sender = memberName(options_.firstMember)};
+    all.from = memberAddress(options_.firstMember, options_.port);
+    for (int i = 0; i < options_.fleetSize; ++i) {
+      auto record = memberRecord(i, memberAddress(i, options_.port));
+      record.version = "1.14.2" + std::string(fleet::kDisseminates);  // as the member announces it
       all.news.push_back(std::move(record));
     }
-    const auto told = fleet::encode(all, kFleet);
-    if (!teller_)
-      teller_.emplace(
-          loop_, Poco::Net::SocketAddress(addressOf(kTellers + options_.first, options_.port)),
+    const auto encoded = fleet::encode(all, kHollowFleetName);
+    if (!announcer_)
+      announcer_.emplace(
+          loop_,
+          Poco::Net::SocketAddress(
+              memberAddress(kFirstAnnouncerAddress + options_.firstMember, options_.port)),
           [](auto) { return std::string(); }, [](auto) {});
     Nanos wait = 0;
     for (auto& [i, member] : members_) {
-      if (!member.side || member.side->detector().alive() == static_cast<std::size_t>(options_.members))
+      if (!member.service ||
+          member.service->detector().alive() == static_cast<std::size_t>(options_.fleetSize))
         continue;
-      loop_.after(wait += 50 * kMs, [this, told, to = i] {
-        teller_->tell(Poco::Net::SocketAddress(addressOf(to, options_.port)), told);
+      loop_.after(wait += 50 * kMs, [this, encoded, to = i] {
+        announcer_->tell(Poco::Net::SocketAddress(memberAddress(to, options_.port)), encoded);
       });
     }
   }
 
-  void look() {
+  void poll() {
     const Nanos now = loop_.now();
-    if (lookedAt_ > 0) latest_ = std::max(latest_, now - lookedAt_ - kLook);
-    lookedAt_ = now;
-    loop_.after(kLook, [this] { look(); });
-    if (recording_ || !watched_.empty()) lookAtMembers(now);
-    if (now >= meterAt_) meter(now);
+    if (polledAt_ > 0) maxLoopDelay_ = std::max(maxLoopDelay_, now - polledAt_ - kPollInterval);
+    polledAt_ = now;
+    loop_.after(kPollInterval, [this] { poll(); });
+    if (recordingArrivals_ || !watchedMember_.empty()) recordEvents(now);
+    if (now >= nextSampleAt_) samplePeakTraffic(now);
     std::string line;
-    while (lines_.next(line)) {
-      const auto answer = carryOut(line) + "\n";
+    while (inputLines_.next(line)) {
+      const auto answer = execute(line) + "\n";
       for (std::size_t at = 0; at < answer.size();) {
         const auto wrote = ::write(STDOUT_FILENO, answer.data() + at, answer.size() - at);
         if (wrote <= 0) ::_exit(0);
@@ -182,132 +197,137 @@
       }
     }
   }
-  // Only while something is asked of them: to pass all members each time cost as much as some of what they
-  // do themselves, since no cache holds them.
-  void lookAtMembers(Nanos now) {
+  // Called only while a measurement needs it: visiting all members at each poll cost as much as some of their
+  // own work, since they do not fit into any cache.
+  void recordEvents(Nanos now) {
     for (auto& [i, member] : members_) {
-      if (!member.side) continue;
-      const auto commands = member.side->commands();
-      if (recording_ && member.commands > 0)
-        for (auto n = member.commands + 1; n <= commands; ++n) arrivals_[n].push_back(now / kMs - epoch_);
+      if (!member.service) continue;
+      const auto commands = member.service->commands();
+      if (recordingArrivals_ && member.commands > 0)
+        for (auto n = member.commands + 1; n <= commands; ++n) arrivals_[n].push_back(now / kMs - epochMs_);
       member.commands = commands;
-      if (!watched_.empty() && !seen_.contains(i) && stateOf(*member.side) >= membership::State::failed)
-        seen_[i] = now / kMs - epoch_;
+      if (!watchedMember_.empty() && !failureTimes_.contains(i) &&
+          stateOf(*member.service) >= membership::State::failed)
+        failureTimes_[i] = now / kMs - epochMs_;
     }
   }
-  // The bytes of each member in the second that is over; the most of any is kept.
-  void meter(Nanos now) {
-    meterAt_ = metering_ ? now + 1000 * kMs : now + 100 * kMs;
-    if (!metering_) return;
+  // Samples the bytes of each member in the past second and keeps the maximum of any.
+  void samplePeakTraffic(Nanos now) {
+    nextSampleAt_ = samplingTraffic_ ? now + 1000 * kMs : now + 100 * kMs;
+    if (!samplingTraffic_) return;
     for (auto& [i, member] : members_) {
-      const auto traffic = trafficOf(member);
-      mostSent_ = std::max(mostSent_, traffic.sent - member.traffic.sent);
-      mostReceived_ = std::max(mostReceived_, traffic.received - member.traffic.received);
-      member.traffic = traffic;
+      const auto currentTraffic = trafficOf(member);
+      peakSentBytes_ = std::max(peakSentBytes_, currentTraffic.sent - member.sampledTraffic.sent);
+      peakReceivedBytes_ =
+          std::max(peakReceivedBytes_, currentTraffic.received - member.sampledTraffic.received);
+      member.sampledTraffic = currentTraffic;
     }
   }
   static Traffic trafficOf(const Member& member) {
-    Traffic out{member.before.sentBytes + member.streamsBefore.sentBytes,
-                member.before.receivedBytes + member.streamsBefore.receivedBytes};
-    if (!member.side) return out;
-    out.sent += member.side->counters().sentBytes;
-    out.received += member.side->counters().receivedBytes;
-    if (const auto* streams = member.side->streams()) {
+    Traffic out{member.countersBefore.sentBytes + member.streamsBefore.sentBytes,
+                member.countersBefore.receivedBytes + member.streamsBefore.receivedBytes};
+    if (!member.service) return out;
+    out.sent += member.service->counters().sentBytes;
+    out.received += member.service->counters().receivedBytes;
+    if (const auto* streams = member.service->streams()) {
       out.sent += streams->counters().sentBytes;
       out.received += streams->counters().receivedBytes;
     }
     return out;
   }
-  // Begins a new measurement; what the one before has shown.
-  std::string metered() {
-    const auto answer = fmt::format("{} {}", mostSent_, mostReceived_);
-    for (auto& [i, member] : members_) member.traffic = trafficOf(member);
-    metering_ = true, mostSent_ = mostReceived_ = 0;
-    meterAt_ = loop_.now() + 1000 * kMs;
+  // Returns the peaks of the previous measurement and starts a new one.
+  std::string takePeakTraffic() {
+    const auto answer = fmt::format("{} {}", peakSentBytes_, peakReceivedBytes_);
+    for (auto& [i, member] : members_) member.sampledTraffic = trafficOf(member);
+    samplingTraffic_ = true;
+    peakSentBytes_ = peakReceivedBytes_ = 0;
+    nextSampleAt_ = loop_.now() + 1000 * kMs;
     return answer;
   }
-  std::string cut(std::istringstream& in) {
+  std::string isolate(std::istringstream& in) {
     int region = 0;
     in >> region;
-    DropRule::cut(region, options_.first, options_.members);
+    DropRule::isolate(region, options_.firstMember, options_.fleetSize);
     return "ok";
   }
-  // Of the registers held by members that run: the least and the most commands, the greatest age in ms
-  // (kNever: never vouched for), the coordinator's least fence, and a hash of each that differs.
-  std::string registers() const {
-    std::uint64_t least = UINT64_MAX, most = 0, fence = UINT64_MAX;
-    Nanos age = 0;
+  // Summary of the registers of the running members: least and most commands, greatest age in ms
+  // (kNeverFreshMs: freshness never confirmed), least fence of the coordinator role, and the hash of each
+  // distinct content.
+  std::string summariseRegisters() const {
+    std::uint64_t minCommands = UINT64_MAX, maxCommands = 0, minFence = UINT64_MAX;
+    Nanos maxAgeMs = 0;
     std::set<std::size_t> hashes;
     for (const auto& [i, member] : members_) {
-      if (!member.side) continue;
-      const auto& held =
-          member.side->council() ? member.side->council()->held() : member.side->disseminator()->held();
-      least = std::min(least, held.commands()), most = std::max(most, held.commands());
-      const Nanos itsAge = member.side->registerAge();
-      age = std::max(age, itsAge < 0 ? kNever : itsAge / kMs);
+      if (!member.service) continue;
+      const auto& held = member.service->council() ? member.service->council()->held()
+                                                   : member.service->disseminator()->held();
+      minCommands = std::min(minCommands, held.commands());
+      maxCommands = std::max(maxCommands, held.commands());
+      const Nanos memberAge = member.service->registerAge();
+      maxAgeMs = std::max(maxAgeMs, memberAge < 0 ? kNeverFreshMs : memberAge / kMs);
       const auto* coordinator = held.find(fleet::Council::kCoordinator);
-      fence = std::min(fence, coordinator ? coordinator->fence : 0);
+      minFence = std::min(minFence, coordinator ? coordinator->fence : 0);
       hashes.insert(std::hash<std::string>()(held.write()));
     }
-    auto out = fmt::format("{} {} {} {}", least, most, age, fence);
+    auto out = fmt::format("{} {} {} {}", minCommands, maxCommands, maxAgeMs, minFence);
     for (const auto hash : hashes) out += fmt::format(" {}", hash);
     return out;
   }
-  membership::State stateOf(const fleet::Side& side) const {
-    const auto at = side.detector().view().find(watched_);
-    return at == side.detector().view().end() ? membership::State::alive : at->second.record.state;
+  membership::State stateOf(const fleet::Side& service) const {
+    const auto at = service.detector().view().find(watchedMember_);
+    return at == service.detector().view().end() ? membership::State::alive : at->second.record.state;
   }
 
-  std::string carryOut(const std::string& line) {
+  std::string execute(const std::string& line) {
     std::istringstream in(line);
-    std::string word;
-    in >> word;
+    std::string command;
+    in >> command;
     if (!failure_.empty()) return "failed " + failure_;
     try {
-      if (word == "start") return startAll(in);
-      if (word == "tell") return tellAll(), "ok";
-      if (word == "stat") return stat();
-      if (word == "kill" || word == "again") return each(in, word == "kill");
-      if (word == "hold") return hold(in);
-      if (word == "watch") {
+      if (command == "start") return startAll(in);
+      if (command == "tell") return announceFleet(), "ok";
+      if (command == "stat") return stat();
+      if (command == "kill" || command == "again") return startOrStop(in, command == "kill");
+      if (command == "hold") return countViews(in);
+      if (command == "watch") {
         std::string i;
-        in >> i >> epoch_;
-        watched_ = memberName(std::stoi(i));
-        seen_.clear();
+        in >> i >> epochMs_;
+        watchedMember_ = memberName(std::stoi(i));
+        failureTimes_.clear();
         return "ok";
       }
-      if (word == "seen") return seen();
-      if (word == "change") return change(in);
-      if (word == "record") return record(in);
-      if (word == "arrivals") return arrivals();
-      if (word == "leads") return leads();
-      if (word == "metered") return metered();
-      if (word == "registers") return registers();
-      if (word == "cut") return cut(in);
-      if (word == "heal") return DropRule::heal(), "ok";
+      if (command == "seen") return failureTimes();
+      if (command == "change") return startChanges(in);
+      if (command == "record") return record(in);
+      if (command == "arrivals") return arrivals();
+      if (command == "leads") return isLeader();
+      if (command == "metered") return takePeakTraffic();
+      if (command == "registers") return summariseRegisters();
+      if (command == "cut") return isolate(in);
+      if (command == "heal") return DropRule::heal(), "ok";
     } catch (const Poco::Exception& error) {
       return "failed " + error.displayText();
     } catch (const std::exception& error) {
       return std::string("failed ") + error.what();
     }
-    return "failed unknown " + word;
+    return "failed unknown " + command;
   }
 
   std::string record(std::istringstream& in) {
-    in >> epoch_;
-    recording_ = true;
+    in >> epochMs_;
+    recordingArrivals_ = true;
     arrivals_.clear();
     for (auto& [i, member] : members_)
-      if (member.side) member.commands = member.side->commands();
+      if (member.service) member.commands = member.service->commands();
     return "ok";
   }
 
   std::string startAll(std::istringstream& in) {
-    Nanos over = 0;  // ms
-    in >> over;
-    for (int k = 0; k < options_.count; ++k) {
-      const int i = options_.first + k * options_.stride;
-      loop_.after(over * kMs * k / options_.count, [this, i] {
+    Nanos spreadMs = 0;
+    in >> spreadMs;
+    for (int k = 0; k < options_.memberCount; ++k) {
+      const int i = options_.firstMember + k * options_.stride;
+      loop_.after(spreadMs * kMs * k / options_.memberCount, [this, i] {
         try {
           start(i);
         } catch (const std::exception& error) {
@@ -317,51 +337,55 @@
     }
     return "ok";
   }
-  bool isHere(int i) const {
-    const int k = (i - options_.first) / options_.stride;
-    return i >= options_.first && (i - options_.first) % options_.stride == 0 && k < options_.count;
+  bool runsHere(int i) const {
+    const int k = (i - options_.firstMember) / options_.stride;
+    return i >= options_.firstMember && (i - options_.firstMember) % options_.stride == 0 &&
+           k < options_.memberCount;
   }
-  std::string each(std::istringstream& in, bool ends) {
+  std::string startOrStop(std::istringstream& in, bool stops) {
     for (int i = 0; in >> i;)
-      if (isHere(i)) ends ? stop(i) : start(i);
+      if (runsHere(i)) stops ? stop(i) : start(i);
     return "ok";
   }
-  // Of the named ones: how often a member that runs here holds one to be there, and to be suspected.
-  std::string hold(std::istringstream& in) {
-    long there = 0, suspected = 0, pairs = 0;
+  // Over all pairs of a running member and a named one: in how many the named one is considered present, in
+  // how many suspected, and the number of pairs.
+  std::string countViews(std::istringstream& in) {
+    long present = 0, suspected = 0, pairs = 0;
     for (int named = 0; in >> named;)
       for (const auto& [i, member] : members_) {
-        if (!member.side || i == named) continue;
+        if (!member.service || i == named) continue;
         ++pairs;
-        const auto at = member.side->detector().view().find(memberName(named));
-        if (at == member.side->detector().view().end()) continue;
-        there += at->second.record.state <= membership::State::suspect;
+        const auto at = member.service->detector().view().find(memberName(named));
+        if (at == member.service->detector().view().end()) continue;
+        present += at->second.record.state <= membership::State::suspect;
         suspected += at->second.record.state == membership::State::suspect;
       }
-    return fmt::format("{} {} {}", there, suspected, pairs);
+    return fmt::format("{} {} {}", present, suspected, pairs);
   }
-  std::string seen() const {
-    std::string out = fmt::format("{}", seen_.size());
-    for (const auto& [i, at] : seen_) out += fmt::format(" {}", at);
+  std::string failureTimes() const {
+    std::string out = fmt::format("{}", failureTimes_.size());
+    for (const auto& [i, at] : failureTimes_) out += fmt::format(" {}", at);
     return out;
   }
-  std::string change(std::istringstream& in) {
-    in >> toChange_;
-    Nanos every = 0;  // ms
-    in >> every;
-    changeNext(every * kMs);
+  std::string startChanges(std::istringstream& in) {
+    in >> changesLeft_;
+    Nanos intervalMs = 0;
+    in >> intervalMs;
+    proposeNext(intervalMs * kMs);
     return "ok";
   }
-  // By the voter that leads; the others pass.
-  void changeNext(Nanos every) {
-    if (toChange_-- <= 0) return;
-    loop_.after(every, [this, every] { changeNext(every); });
-    auto& side = members_.begin()->second.side;
-    if (!side || !side->council()) return;
-    const auto key = keyOf(changed_ % std::max(1, options_.keys));
-    const auto* at = side->council()->held().find(key);
-    proposed_ += side->propose({key, valueOf(changed_, changed_), at ? at->fence : 0});
-    ++changed_;
+  // Proposes the next change and schedules the one after it. Every voter does so; only the leader accepts a
+  // proposal.
+  void proposeNext(Nanos interval) {
+    if (changesLeft_-- <= 0) return;
+    loop_.after(interval, [this, interval] { proposeNext(interval); });
+    auto& service = members_.begin()->second.service;
+    if (!service || !service->council()) return;
+    const auto key = keyOf(changesAttempted_ % std::max(1, options_.keys));
+    const auto* at = service->council()->held().find(key);
+    changesAccepted_ +=
+        service->propose({key, valueOf(changesAttempted_, changesAttempted_), at ? at->fence : 0});
+    ++changesAttempted_;
   }
   std::string arrivals() const {
     std::string out;
@@ -371,9 +395,9 @@
     }
     return out.empty() ? "-" : out;
   }
-  std::string leads() const {
-    const auto& side = members_.begin()->second.side;
-    return side && side->council() && side->council()->leads() ? "1" : "0";
+  std::string isLeader() const {
+    const auto& service = members_.begin()->second.service;
+    return service && service->council() && service->council()->leads() ? "1" : "0";
   }
 
   std::string stat() {
@@ -385,63 +409,64 @@
     statm >> pages >> resident;
     fleet::Counters c;
     fleet::Streams::Counters s;
-    std::size_t running = 0, leastAlive = SIZE_MAX, mostAlive = 0;
-    std::uint64_t leastCommands = UINT64_MAX, mostCommands = 0;
+    std::size_t running = 0, minAlive = SIZE_MAX, maxAlive = 0;
+    std::uint64_t minCommands = UINT64_MAX, maxCommands = 0;
     for (const auto& [i, member] : members_) {
-      add(c, member.before), add(s, member.streamsBefore);
-      if (!member.side) continue;
+      add(c, member.countersBefore);
+      add(s, member.streamsBefore);
+      if (!member.service) continue;
       ++running;
-      add(c, member.side->counters());
-      if (const auto* streams = member.side->streams()) add(s, streams->counters());
-      leastAlive = std::min(leastAlive, member.side->detector().alive());
-      mostAlive = std::max(mostAlive, member.side->detector().alive());
-      leastCommands = std::min(leastCommands, member.side->commands());
-      mostCommands = std::max(mostCommands, member.side->commands());
+      add(c, member.service->counters());
+      if (const auto* streams = member.service->streams()) add(s, streams->counters());
+      minAlive = std::min(minAlive, member.service->detector().alive());
+      maxAlive = std::max(maxAlive, member.service->detector().alive());
+      minCommands = std::min(minCommands, member.service->commands());
+      maxCommands = std::max(maxCommands, member.service->commands());
     }
     return fmt::format("{} {} {} {} {} {} {} {} {} {} {} {} {} {} {} {} {} {} {} {} {} {}",
                        micros(usage.ru_utime) + micros(usage.ru_stime), usage.ru_maxrss,
-                       resident * (::sysconf(_SC_PAGESIZE) / 1024), running, running > 0 ? leastAlive : 0,
-                       mostAlive, c.sent, c.sentBytes, c.received, c.receivedBytes, c.unsent, c.broken,
+                       resident * (::sysconf(_SC_PAGESIZE) / 1024), running, running > 0 ? minAlive : 0,
+                       maxAlive, c.sent, c.sentBytes, c.received, c.receivedBytes, c.unsent, c.broken,
                        s.connected, s.accepted, s.leftOut, s.sentBytes, s.receivedBytes,
-                       running > 0 ? leastCommands : 0, mostCommands, std::exchange(latest_, 0) / kMs,
-                       proposed_, c.registerAsked);
+                       running > 0 ? minCommands : 0, maxCommands, std::exchange(maxLoopDelay_, 0) / kMs,
+                       changesAccepted_, c.registerAsked);
   }
 
-  static constexpr int kTellers = 100'000;  // their addresses are behind all members'
+  static constexpr int kFirstAnnouncerAddress = 100'000;  // after the addresses of all members
 
   HollowOptions options_;
   net::Loop loop_;
   broker::Log log_;
   HollowHost host_;
-  Lines lines_;
+  InputLines inputLines_;
   std::map<int, Member> members_;
-  std::optional<fleet::Streams> teller_;
-  std::uint64_t lives_ = 0;
-  std::string failure_;                          // of a member's start
-  Nanos lookedAt_ = 0, latest_ = 0, epoch_ = 0;  // epoch: ms
-  std::string watched_;
-  std::map<int, Nanos> seen_;
-  bool recording_ = false;
-  std::map<std::uint64_t, std::vector<Nanos>> arrivals_;  // ms after the epoch, by number
-  int toChange_ = 0, changed_ = 0;
-  long proposed_ = 0;
-  bool metering_ = false;
-  Nanos meterAt_ = 0;
-  std::uint64_t mostSent_ = 0, mostReceived_ = 0;  // by a member in a second
+  std::optional<fleet::Streams> announcer_;
+  std::uint64_t incarnations_ = 0;
+  std::string failure_;  // why a member could not start
+  Nanos polledAt_ = 0, maxLoopDelay_ = 0, epochMs_ = 0;
+  std::string watchedMember_;
+  std::map<int, Nanos> failureTimes_;
+  bool recordingArrivals_ = false;
+  std::map<std::uint64_t, std::vector<Nanos>> arrivals_;  // ms after the epoch, by number of the change
+  int changesLeft_ = 0, changesAttempted_ = 0;
+  long changesAccepted_ = 0;
+  bool samplingTraffic_ = false;
+  Nanos nextSampleAt_ = 0;
+  std::uint64_t peakSentBytes_ = 0, peakReceivedBytes_ = 0;  // of one member in a second
 };
 
 }  // namespace
 
-std::string addressOf(int member, int port) {
+std::string memberAddress(int member, int port) {
   return fmt::format("127.{}.{}.{}:{}", 64 + member / 62'500, 1 + member / 250 % 250, 1 + member % 250, port);
 }
 
-int memberAt(std::uint32_t address) {
+int memberOfAddress(std::uint32_t address) {
   const auto part = [address](int byte) { return static_cast<int>(address >> (8 * byte) & 0xff); };
   if (part(3) != 127 || part(2) < 64 || part(1) < 1 || part(0) < 1) return -1;
   return (part(2) - 64) * 62'500 + (part(1) - 1) * 250 + part(0) - 1;
 }
 
-int runHollow(const HollowOptions& options) { return Hollow(options).run(); }
+int runHollowMembers(const HollowOptions& options) { return HollowProcess(options).run(); }
 
 }  // namespace topazweir::lab::scale
--- a/src/lab/scale/module_slopes.hpp
+++ b/src/lab/scale/module_slopes.hpp
@@ -1,20 +1,21 @@
-// What the decision module costs by the number of leafs: fitted on smaller sizes, told for the largest.
+// Cost of the decision module by the number of leafs: fitted on smaller sizes, predicted for the largest.
 #pragma once
 
 namespace topazweir::lab::scale {
 
-// Prints the tables of docs/results/scale.md on the module. 0: every figure of the largest size came within a
-// quarter of its prediction. `quick`: few sizes, and only counts and bytes decide, no times.
-int runModuleSlopes(bool quick);
+// Prints the tables of docs/results/scale.md about the module. Returns 0 if every figure of the largest size
+// is within kMaxRelativeError of its prediction. `quick`: few sizes; only counts and bytes decide, since
+// times vary with the load of the machine.
+int measureModule(bool quick);
 
-// 0.3 s of the target's traffic, each event a turn, for a profiler that counts instructions.
-int runModuleTraffic(int leafs);
+// Runs 0.3 s of the target's traffic, one event per turn, for a profiler that counts instructions.
+int runModuleTrafficForProfiler(int leafs);
 
-// The share of a cold leaf's ceiling by the number of aggregators, on one virtual clock. 0: the sum of all
-// stays below the ceiling everywhere.
-int runColdShares(bool quick);
+// Share of a cold leaf's slow-start limit by the number of aggregators, on one virtual clock. Returns 0 if
+// the sum over all aggregators stays below the limit at each fleet size.
+int measureColdLeafShares(bool quick);
 
-// Connections, handshakes and the arithmetic of the target: computed, nothing is run.
+// Prints the computed connections, handshakes and rates of the target; measures nothing.
 void printTarget();
 
 }  // namespace topazweir::lab::scale
--- a/src/lab/scale/pure_slopes.hpp
+++ b/src/lab/scale/pure_slopes.hpp
@@ -1,4 +1,5 @@
-// Slopes of what needs no sockets: bytes are those that the wire would carry, times are of this thread.
+// Scaling of work that needs no sockets. Bytes are counted as encoded for the wire; times are CPU times of
+// the calling thread.
 #pragma once
 
 #include <string>
@@ -9,16 +10,16 @@
 
 namespace topazweir::lab::scale {
 
-// What a fleet of the target's kind holds: names, addresses, zones and versions as they are given there.
+// Synthetic members and register contents with names, addresses, zones and versions like the target's.
 std::string memberName(int member);
 std::string zoneOf(int member);  // 3 regions with 2 zones each
 membership::Record memberRecord(int member, const std::string& address);
 std::string keyOf(int key);
-std::string valueOf(int key, int revision);  // with its key about 100 bytes
+std::string valueOf(int key, int revision);  // about 100 bytes including its key
 agreement::Register registerOf(int keys);
 
-void registerSlopes();  // by keys: an answer to a follower, a snapshot, a change at a voter
-void exchangeSlopes();  // by members: a full exchange
-void detectorCosts();   // by members: a tick and what the side looks through at each
+void measureRegister();       // by keys: an answer to a follower, a snapshot, a change at a voter
+void measureFullExchange();   // by members: a full exchange
+void measureDetectorCosts();  // by members: a detector tick and the evaluations that go with each tick
 
 }  // namespace topazweir::lab::scale
--- a/src/lab/scale/real.hpp
+++ b/src/lab/scale/real.hpp
@@ -1,4 +1,4 @@
-// A few real processes of `topazweir run` that are members of a fleet of hollow ones.
+// Real processes of `topazweir run` that join a fleet of hollow members.
 #pragma once
 
 #include <sys/types.h>
@@ -12,20 +12,22 @@
 
 class RealProcesses {
  public:
-  // Started at once; their files go into the folder. Throws std::runtime_error where they can't be started.
-  RealProcesses(const std::string& program, int count, const HollowOptions& fleet, const std::string& folder);
-  ~RealProcesses();  // ends what it has started, and waits for it
+  // Starts `count` processes, with their configuration and log files in `directory`. Throws
+  // std::runtime_error if they cannot be started.
+  RealProcesses(const std::string& program, int count, const HollowOptions& fleet,
+                const std::string& directory);
+  ~RealProcesses();  // kills the processes and waits for them
   RealProcesses(const RealProcesses&) = delete;
   RealProcesses& operator=(const RealProcesses&) = delete;
 
-  // Each one's answer to an operators' call; empty: it did not answer.
-  std::vector<std::string> ask(const std::string& line) const;
-  // The number behind `name=` in the first line of each one's answer: the least of them; -1: one has none.
-  long least(const std::string& line, const std::string& name) const;
+  // Sends an operator command to each process; an empty answer means that the process did not answer.
+  std::vector<std::string> sendToAll(const std::string& command) const;
+  // The least value of `key=` over the first lines of all answers; -1: missing in one of them.
+  long minValue(const std::string& command, const std::string& key) const;
 
  private:
-  std::vector<pid_t> ids_;
-  std::vector<std::string> ops_;  // addresses
+  std::vector<pid_t> pids_;
+  std::vector<std::string> operatorAddresses_;
 };
 
 }  // namespace topazweir::lab::scale
--- a/src/lab/scale/socket_runs.hpp
+++ b/src/lab/scale/socket_runs.hpp
@@ -1,4 +1,5 @@
-// Runs of hollow members over real sockets: slopes, a change's way, bursts, and the small run of CI.
+// Measurements of hollow members over real sockets: scaling at rest, propagation of register changes, bursts
+// of failures, and the short run of CI.
 #pragma once
 
 #include <cstdint>
@@ -8,26 +9,27 @@
 namespace topazweir::lab::scale {
 
 struct RunOptions {
-  std::vector<int> sizes{};  // fitted
-  int largest = 0;           // compared with the prediction; 0: none
+  std::vector<int> sizes{};  // numbers of members to fit on
+  int largest = 0;           // number of members that is compared with the prediction; 0: none
   double periodSeconds = 1;  // between two probes of a member
-  int perSecond = 500;       // members beyond which the detector's period grows, so that one machine keeps up
-  int keys = 1000;           // of the register
+  // Number of members above which the probe period grows in proportion, so that one machine can keep up.
+  int periodGrowsFrom = 500;
+  int keys = 1000;  // of the register
   int changes = 60;
-  double changeSeconds = 1;  // between two of them
-  int perProcess = 50;
-  int relays = 0;            // set aside to hand the register on
-  double bytesAChild = 200;  // that such a relay may send a second, for each of its children
-  int port = 0;              // of each member's own address of 127.0.0.0/8; 0: by this process's number
+  double changeIntervalSeconds = 1;
+  int membersPerProcess = 50;
+  int relays = 0;              // members dedicated to relaying the register; 0: none
+  double bytesPerChild = 200;  // send limit of a dedicated relay, bytes/s for each of its children
+  int port = 0;                // of each member's own address in 127.0.0.0/8; 0: derived from the process id
   std::vector<std::uint64_t> seeds{1, 2, 3};
-  bool together = false;   // the fitted sizes at once, each fleet in its own processes
-  bool killFitted = true;  // one of each fitted fleet, too
-  std::string program{};   // topazweir: a few real processes beside the hollow members; empty: none
+  bool concurrent = false;   // run the fleets of all fitted sizes at once, each in its own processes
+  bool killInFitted = true;  // kill one member of each fitted fleet, not of the largest fleet alone
+  std::string program{};     // path of topazweir, for some real processes beside the hollow ones; empty: none
 };
 
-void detectorRun(const RunOptions& options);
-void changeRun(const RunOptions& options);
-void burstRun(const RunOptions& options);
-void smallRun(const RunOptions& options);
+void measureDetector(const RunOptions& options);
+void measureChangePropagation(const RunOptions& options);
+void measureBursts(const RunOptions& options);
+void runCiChecks(const RunOptions& options);
 
 }  // namespace topazweir::lab::scale
