--- a/src/lab/scale/fleet_runs.cpp
+++ b/src/lab/scale/fleet_runs.cpp
@@ -176,7 +176,7 @@
 
   static constexpr int kMaxLeaderAttempts = 8;
   static constexpr double kConvergeLimitPeriods = 120;
-  static constexpr double kMaxFreshAgePeriods = 3;
+  static constexpr double kMaxFreshAgePeriods = 3;  // a register younger than this counts as fresh
   CutOptions options_;
   TemporaryDirectory directory_;
   HollowFleet fleet_;
@@ -199,17 +199,17 @@
 namespace {
 
 struct ColdStart {
-  double convergedSeconds = 0;  // seconds until all members have the register
-  double voterBytes = 0,
-         peakVoterBytes = 0;  // mean of a voter until then, and the most of one voter in a second
-  double memberBytes = 0;     // received by a member until then, in the mean
+  double convergedSeconds = 0;  // until all members have the register
+  double voterBytes = 0;        // sent until then, mean of the voters
+  double peakVoterBytes = 0;    // the most that one voter sent in any second
+  double memberBytes = 0;       // received until then, mean of the other members
 };
 
 ColdStart measureStart(const RunOptions& options, int members, int keys) {
   TemporaryDirectory directory;
-  auto keyedOptions = options;
-  keyedOptions.keys = keys;
-  auto memberOptions = hollowOptions(keyedOptions, members, options.periodSeconds, directory);
+  auto startOptions = options;
+  startOptions.keys = keys;
+  auto memberOptions = hollowOptions(startOptions, members, options.periodSeconds, directory);
   memberOptions.votersAsSeeds = true;
   memberOptions.announced = false;
   HollowFleet fleet(memberOptions, options.membersPerProcess);
--- a/src/lab/scale/hollow.cpp
+++ b/src/lab/scale/hollow.cpp
@@ -31,6 +31,7 @@
 constexpr Nanos kPollInterval = 10 * kMs;
 constexpr Nanos kNeverFreshMs = 1'000'000'000;  // age of a register whose freshness was never confirmed
 
+// The host of a hollow member: reports a constant load and ignores changes of its share.
 struct HollowHost : fleet::Host {
   membership::LoadMeter::Totals load() const override { return {120, 0, 0}; }
   void shares(const membership::Share&) override {}
@@ -63,6 +64,7 @@
   std::thread reader_;
 };
 
+// The event loop of one process, its hollow members, and the commands that control them.
 class HollowProcess {
  public:
   explicit HollowProcess(const HollowOptions& options)
@@ -108,7 +110,7 @@
   }
 
   // Writes the initial register to the voter's store as if it had been committed.
-  void prepare(int i) const {
+  void writeInitialRegister(int i) const {
     const auto path = options_.stateDirectory + "/voter." + kHollowFleetName + "." + memberName(i);
     if (options_.keys == 0 || ::access(path.c_str(), F_OK) == 0) return;
     agreement::FileStore store(path);
@@ -119,7 +121,7 @@
   void start(int i) {
     auto& member = members_[i];
     if (member.service) return;
-    if (i < options_.voters) prepare(i);
+    if (i < options_.voters) writeInitialRegister(i);
     const auto seed = 1'000'003U * (static_cast<std::uint64_t>(i) + 5000 * options_.seed) + ++incarnations_;
     member.service = std::make_unique<fleet::Side>(loop_, log_, configFor(i), "1.14.2", seed,
                                                    membership::Share{options_.fleetSize, i}, host_);
@@ -337,14 +339,15 @@
     }
     return "ok";
   }
-  bool runsHere(int i) const {
+  // Whether member `i` belongs to this process, running or not.
+  bool isOwnMember(int i) const {
     const int k = (i - options_.firstMember) / options_.stride;
     return i >= options_.firstMember && (i - options_.firstMember) % options_.stride == 0 &&
            k < options_.memberCount;
   }
   std::string startOrStop(std::istringstream& in, bool stops) {
     for (int i = 0; in >> i;)
-      if (runsHere(i)) stops ? stop(i) : start(i);
+      if (isOwnMember(i)) stops ? stop(i) : start(i);
     return "ok";
   }
   // Over all pairs of a running member and a named one: in how many the named one is considered present, in
--- a/src/lab/scale/socket_runs.cpp
+++ b/src/lab/scale/socket_runs.cpp
@@ -184,27 +184,28 @@
   fmt::print("{:>8} {:>7} {:>9} {:>9} {:>8} {:>10} {:>9} {:>10} {:>10} {:>7} {:>9} {:>9}\n", "members",
              "period", "datagrams", "bytes", "streams", "bytes", "us", "us, voter", "KB memory", "late ms",
              "first, p.", "all, p.");
-  RestFits slopes;
+  RestFits fits;
   const auto fitted = measureAtRest(options, options.sizes, options.killInFitted);
   for (std::size_t i = 0; i < fitted.size(); ++i) {
     const int members = options.sizes[i];
     printRow(members, probePeriod(options, members), fitted[i]);
-    slopes.add(members, fitted[i]);
+    fits.add(members, fitted[i]);
   }
   if (options.largest <= 0) return;
   const auto largest = measureAtRest(options, {options.largest}, true).front();
   printRow(options.largest, probePeriod(options, options.largest), largest);
-  slopes.compare(options.largest, largest);
+  fits.compare(options.largest, largest);
 }
 
 namespace {
 
+// Propagation of changes to all members, and what it costs.
 struct Propagation {
-  double p50 = 0, p99 = 0, last = 0;                 // seconds from commit until applied
+  double p50 = 0, p99 = 0, max = 0;                  // seconds from commit until applied at a member
   double complete = 0;                               // share of the changes that reached all members
-  double bytes = 0, connections = 0, cpuMicros = 0;  // per voter and second
-  double memberBytes = 0, memberMicros = 0;          // per member and second, received
-  double relayBytes = 0;                             // per dedicated relay and second, sent
+  double bytes = 0, connections = 0, cpuMicros = 0;  // per voter and second; bytes sent
+  double memberBytes = 0, memberMicros = 0;          // per other member and second; bytes received
+  double relayBytes = 0;                             // per dedicated relay and second; bytes sent
   long changes = 0;
 };
 
@@ -240,19 +241,19 @@
     out.relayBytes = (relays.sentBytes + relays.streamSentBytes) / options.relays / time;
   const auto arrivals = fleet.arrivals();
   std::vector<double> delays;
-  const auto all = static_cast<std::size_t>(members - kVoters);
+  const auto nonVoters = static_cast<std::size_t>(members - kVoters);
   for (const auto& [number, voters] : arrivals.voters) {
     const double committedAt = *std::min_element(voters.begin(), voters.end());
-    const auto taken = arrivals.others.find(number);
+    const auto applied = arrivals.others.find(number);
     ++out.changes;
-    if (taken == arrivals.others.end()) continue;
-    out.complete += taken->second.size() == all;
-    for (const double when : taken->second) delays.push_back(when - committedAt);
+    if (applied == arrivals.others.end()) continue;
+    out.complete += applied->second.size() == nonVoters;
+    for (const double when : applied->second) delays.push_back(when - committedAt);
   }
   if (out.changes > 0) out.complete /= static_cast<double>(out.changes);
   out.p50 = quantile(delays, 0.5);
   out.p99 = quantile(delays, 0.99);
-  out.last = quantile(delays, 1);
+  out.max = quantile(delays, 1);
   checkClaim(out.changes >= options.changes && out.complete == 1,
              fmt::format("each of {} changes reached all of {} members", out.changes, members));
   return out;
@@ -274,7 +275,7 @@
     const auto w = measurePropagation(options, members, options.periodSeconds);
     fmt::print(
         "{:>8} {:>8.2f} {:>8.2f} {:>8.2f} {:>14.0f} {:>14.1f} {:>12.0f} {:>15.0f} {:>13.0f} {:>14.0f}\n",
-        members, w.p50, w.p99, w.last, w.bytes, w.connections, w.cpuMicros, w.memberBytes, w.memberMicros,
+        members, w.p50, w.p99, w.max, w.bytes, w.connections, w.cpuMicros, w.memberBytes, w.memberMicros,
         w.relayBytes);
     std::fflush(stdout);
     const double size = members;
@@ -296,6 +297,8 @@
 
 namespace {
 
+// Kills `count` random non-voters at once, restarts them, and prints how long the fleet took to notice and to
+// converge.
 void killAtOnce(HollowFleet& fleet, const RunOptions& options, int members, int count,
                 std::mt19937_64& random, const std::string& label) {
   std::vector<int> killed(static_cast<std::size_t>(members - kVoters));
@@ -364,6 +367,7 @@
   std::fflush(stdout);
 }
 
+// Restarts all non-voters, a few at a time.
 void rollingRestart(HollowFleet& fleet, const RunOptions& options, int members) {
   const double from = HollowFleet::unixSeconds();
   const auto before = fleet.otherStats();
