--- a/examples/consumer/main.cpp
+++ b/examples/consumer/main.cpp
@@ -15,7 +15,7 @@
   settings.classes = {lookup};
 
   topazweir::Aggregator aggregator(settings);
-  topazweir::ListNews list;
+  topazweir::ServerListUpdate list;
   list.entries = {{.server = 7, .zone = 0, .cell = 0}};
   const auto actions =
       aggregator.handle(0, {list, topazweir::QueryArrived{"q", 1, 0, lookup.deadline, 1, false},
--- a/include/topazweir/aggregator.hpp
+++ b/include/topazweir/aggregator.hpp
@@ -42,20 +42,21 @@
   double need = 1;          // weight of delivered parts that makes an answer complete
   double floor = 1;         // weight below which no answer may be given
   double partialWorth = 0;  // an answer below `need` earns this times weight / need
-  Nanos leastLate = 0;      // a part is never late, nor its server unresponsive, before this time has passed;
+  Nanos minLateTime = 0;    // a part is never late, nor its server unresponsive, before this time has passed;
                             // for services whose delays are short but vary widely
   int maxAttempts = 0;  // attempts for one part; 0: Settings::maxAttempts, which is always the upper limit
-  bool copies = true;   // a part may have a hedged request, where Settings::secondCopies allows them
+  bool copies = true;   // a part may have a hedged request, where Settings::hedging allows them
   int secondStepParts = 0;  // parts of a second step that follows the first answer; 0: no second step
   bool operator==(const QueryClass&) const = default;
 };
 
 // Retry budget: the attempts beyond each part's first that are allowed in any window of the given length.
-struct AttemptBudget {
+struct RetryBudget {
   Nanos window = 0;
-  double free = 0;      // allowed regardless of traffic
-  double perTaken = 0;  // allowed in addition for each query and each part accepted within the window
-  bool operator==(const AttemptBudget&) const = default;
+  double free = 0;  // allowed regardless of traffic
+  double attemptsPerAccepted =
+      0;  // allowed in addition for each query and each part accepted within the window
+  bool operator==(const RetryBudget&) const = default;
 };
 
 // Everything an Aggregator is told about itself, its fleet, its servers and its limits.
@@ -73,29 +74,29 @@
   double parallel = 1;         // parts that one server works on concurrently, as far as is known; at least 1
   Nanos callOverhead = 0;      // server work that a call costs in addition to the work of its parts
   int maxAttempts = 1;         // for one part, including the first
-  bool secondCopies = false;   // hedging: a part may have two attempts in flight at a time
+  bool hedging = false;        // hedging: a part may have two attempts in flight at a time
   bool cancelling = false;     // Cancel actions are permitted
   bool messages = false;       // Tell actions are permitted
-  bool repeatsMarked = true;   // clients mark their retries (QueryArrived::repeat)
+  bool retriesMarked = true;   // clients mark their retries (QueryArrived::repeat)
   bool retryAfter = false;     // clients receive Refuse::retryAfter
   Nanos maxRetryAfter = 0;     // upper limit of Refuse::retryAfter
   Nanos answerSlack = 0;       // a final answer still arrives in time this long after the client's time is up
   bool listOnRequest = false;  // the server list is delivered only after Subscribe or FetchList
-  Nanos askWithin = 0;         // without a subscription, the list must be fetched at least this often
-  double coldFrom = 1;         // share of its capacity at which a server starts at the least, in (0, 1]
-  Nanos coldFor = 0;           // a server is warm this long after its start at the latest
-  double tipMultiple = 0;      // a cold server fails when it is sent more than this multiple of its present
-  Nanos tipWindow = 0;         // capacity for this long; 0: no such rule
-  Nanos drainGrace = 0;        // sends to a draining server must end within this time of the update
-  double wastePrice = 0;       // points for server work that served no answer, by share of the work offered
-  double lateFailPrice = 0;    // points for worth left unserved after its aim
-  double crossZonePrice = 0;   // points for an attempt into another zone, per part
-  std::optional<AttemptBudget> budget;  // none: retries are not limited by a budget
+  Nanos listRequestInterval = 0;  // without a subscription, the list must be fetched at least this often
+  double coldCapacityShare = 1;   // share of its capacity at which a server starts at the least, in (0, 1]
+  Nanos warmUpTime = 0;           // a server is warm this long after its start at the latest
+  double overloadMultiple = 0;  // a cold server fails when it is sent more than this multiple of its present
+  Nanos overloadWindow = 0;     // capacity for this long; 0: no such rule
+  Nanos drainGrace = 0;         // sends to a draining server must end within this time of the update
+  double wastePrice = 0;        // points for server work that served no answer, by share of the work offered
+  double lateFailPrice = 0;     // points for worth left unserved after its aim
+  double crossZonePrice = 0;    // points for an attempt into another zone, per part
+  std::optional<RetryBudget> budget;  // none: retries are not limited by a budget
   bool operator==(const Settings&) const = default;
 };
 
 // Returns the number of attempts that one part of the class may have.
-inline int limitOf(const Settings& s, const QueryClass& c) {
+inline int maxAttemptsFor(const Settings& s, const QueryClass& c) {
   return c.maxAttempts > 0 && c.maxAttempts < s.maxAttempts ? c.maxAttempts : s.maxAttempts;
 }
 
@@ -120,7 +121,7 @@
 // An update of the server list, or the failure to get one. `changes` names only the servers that changed;
 // `full` and `initial` name all: any server that they omit is gone. `initial` is the first list after a
 // subscription, `failed` has no entries.
-struct ListNews {
+struct ServerListUpdate {
   enum class Scope { changes, full, initial, failed } scope = Scope::full;
   std::vector<ServerEntry> entries;
 };
@@ -132,7 +133,7 @@
   int queryClass = 0;   // index into Settings::classes
   Nanos timeLeft = 0;   // until the client abandons this try
   int parts = 0;        // number of parts in the first step
-  bool repeat = false;  // a client's retry, where clients mark them (Settings::repeatsMarked)
+  bool repeat = false;  // a client's retry, where clients mark them (Settings::retriesMarked)
 };
 
 // One part of an open query.
@@ -198,8 +199,8 @@
   int number = 0;
 };
 
-using Event = std::variant<ListNews, QueryArrived, PartArrived, AttemptEnded, QueryExpired, TimerFired,
-                           PeerMessage, SentElsewhere, FleetChanged>;
+using Event = std::variant<ServerListUpdate, QueryArrived, PartArrived, AttemptEnded, QueryExpired,
+                           TimerFired, PeerMessage, SentElsewhere, FleetChanged>;
 
 // ---- actions ----
 
@@ -240,7 +241,7 @@
 };
 
 // Sends a message to other aggregators.
-struct Tell {
+struct SendToPeers {
   std::string bytes;        // at most 256
   std::optional<int> peer;  // index of the only recipient; none: all peers
 };
@@ -258,7 +259,8 @@
   std::string text;
 };
 
-using Action = std::variant<Send, Cancel, Answer, Refuse, Fail, SetTimer, Tell, Subscribe, FetchList, Log>;
+using Action =
+    std::variant<Send, Cancel, Answer, Refuse, Fail, SetTimer, SendToPeers, Subscribe, FetchList, Log>;
 
 // ---- the aggregator ----
 
--- a/src/agreement/follower.cpp
+++ b/src/agreement/follower.cpp
@@ -12,7 +12,7 @@
 constexpr std::size_t kMaxStringBytes = 64 * 1024 * 1024;  // of the serialised register
 }  // namespace
 
-std::string answerToFollower(const Register& held, bool led, std::uint64_t known) {
+std::string encodeFollowerReply(const Register& held, bool led, std::uint64_t known) {
   return pack(Fields(led, held.commands() > known ? held.write() : std::string()));
 }
 
--- a/src/agreement/follower.hpp
+++ b/src/agreement/follower.hpp
@@ -16,7 +16,7 @@
 
 // Encodes a voter's answer to a member whose register has applied `known` commands. The register is included
 // only if it is newer. `led`: whether the voter knows of a leader.
-std::string answerToFollower(const Register& held, bool led, std::uint64_t known);
+std::string encodeFollowerReply(const Register& held, bool led, std::uint64_t known);
 
 class Follower {
  public:
--- a/src/agreement/register.cpp
+++ b/src/agreement/register.cpp
@@ -34,7 +34,7 @@
   return {true, commands_};
 }
 
-void Register::takeBack(const std::string& key, std::optional<Held> before) {
+void Register::revert(const std::string& key, std::optional<Held> before) {
   --commands_;
   if (before)
     all_[key] = std::move(*before);
@@ -62,12 +62,12 @@
   return out;
 }
 
-std::string writeCommand(const Command& command) {
+std::string serializeCommand(const Command& command) {
   return pack(
       CommandFields(command.key, command.value.has_value(), command.value.value_or(""), command.expected));
 }
 
-std::optional<Command> readCommand(std::string_view bytes) {
+std::optional<Command> deserializeCommand(std::string_view bytes) {
   const auto fields = unpack<CommandFields>(bytes, Register::kMaxValueBytes + 1);
   if (!fields) return std::nullopt;
   const auto& [key, hasValue, value, expected] = *fields;
--- a/src/agreement/register.hpp
+++ b/src/agreement/register.hpp
@@ -38,7 +38,7 @@
   Result apply(const Command& command);
   // Reverts the latest command, which was for this key; `before` is the key's previous value. Used to roll
   // back a batch that turns out to be invalid, from its last command to its first.
-  void takeBack(const std::string& key, std::optional<Held> before);
+  void revert(const std::string& key, std::optional<Held> before);
 
   const Held* find(std::string_view key) const;  // null: the key does not exist
   const std::map<std::string, Held, std::less<>>& all() const { return all_; }
@@ -57,7 +57,7 @@
   std::uint64_t commands_ = 0;
 };
 
-std::string writeCommand(const Command& command);
-std::optional<Command> readCommand(std::string_view bytes);  // none: malformed
+std::string serializeCommand(const Command& command);
+std::optional<Command> deserializeCommand(std::string_view bytes);  // none: malformed
 
 }  // namespace topazweir::agreement
--- a/src/agreement/voter.cpp
+++ b/src/agreement/voter.cpp
@@ -194,7 +194,7 @@
 
   static int apply(raft_fsm* f, const raft_buffer* buffer, void** result) {
     auto& impl = self(f);
-    auto command = readCommand({static_cast<const char*>(buffer->base), buffer->len});
+    auto command = deserializeCommand({static_cast<const char*>(buffer->base), buffer->len});
     impl.lastResult = command ? impl.held.apply(*command) : Result{};
     if (command) impl.step.applied.push_back(std::move(*command));
     *result = &impl.lastResult;
@@ -256,7 +256,7 @@
     proposal->impl = this;
     proposal->token = token;
     proposal->request.data = proposal.get();
-    const auto buffer = bufferOf(writeCommand(command));
+    const auto buffer = bufferOf(serializeCommand(command));
     const auto done = [](struct raft_apply* request, int status, void* result) {
       const std::unique_ptr<Proposal> owned(static_cast<Proposal*>(request->data));
       const auto value = status == 0 ? *static_cast<Result*>(result) : Result{};
--- a/src/broker/admit.hpp
+++ b/src/broker/admit.hpp
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "broker/contract.hpp"
-#include "broker/open.hpp"
+#include "broker/open_requests.hpp"
 
 namespace topazweir::broker {
 
--- a/src/broker/broker.cpp
+++ b/src/broker/broker.cpp
@@ -62,7 +62,7 @@
   runTurn();
 }
 
-bool Broker::attemptBegan(const AttemptId& id, bool heard) {
+bool Broker::attemptStreaming(const AttemptId& id, bool heard) {
   auto* open = open_.find(id.request);
   if (!open || open->parts.size() != 1) return false;
   if (open->streaming) return open->streaming->attempt == id.attempt;
@@ -101,12 +101,12 @@
       finisher_.fail(id.request, false);
       break;
   }
-  if (streamed) return;  // attemptBegan() has already reported the end to the module
+  if (streamed) return;  // attemptStreaming() has already reported the end to the module
   module_.add(std::move(*event));
   reportEnd(id.request);
 }
 
-void Broker::giveUp(RequestNo no) {
+void Broker::failRequest(RequestNo no) {
   auto* open = open_.find(no);
   if (!open) return;
   sender_.cancelAll(no, *open);
@@ -121,12 +121,12 @@
   runTurn();
 }
 
-void Broker::told(ListNews news) {
+void Broker::updateServers(ServerListUpdate news) {
   module_.add(std::move(news));
   runTurn();
 }
 
-void Broker::sentElsewhere(ServerId server, Nanos at) { module_.add(SentElsewhere{server, at}); }
+void Broker::recordSendByOtherProcess(ServerId server, Nanos at) { module_.add(SentElsewhere{server, at}); }
 
 void Broker::agree(const Terms& terms) {
   terms_.contracts = terms.contracts;
@@ -147,7 +147,7 @@
   scheduleWake();
 }
 
-void Broker::endBy(Nanos at) {
+void Broker::setShutdownDeadline(Nanos at) {
   endBy_ = std::min(endBy_, at);
   open_.capDue(endBy_);
   scheduleWake();
@@ -187,7 +187,7 @@
 }
 
 void Broker::runTurn() {
-  const bool batched = terms_.turnsTogetherFrom > 0 && open_.count() >= terms_.turnsTogetherFrom;
+  const bool batched = terms_.batchTurnsFrom > 0 && open_.count() >= terms_.batchTurnsFrom;
   if (!batched && !clock_.gathering()) return runTurnNow();
   if (std::exchange(turnPending_, true)) return;
   clock_.wakeAt(clock_.now());
--- a/src/broker/broker.hpp
+++ b/src/broker/broker.hpp
@@ -8,9 +8,9 @@
 #include <variant>
 
 #include "broker/admit.hpp"
-#include "broker/book.hpp"
 #include "broker/contract.hpp"
 #include "broker/counters.hpp"
+#include "broker/finish.hpp"
 #include "broker/log.hpp"
 #include "broker/ports.hpp"
 #include "broker/relay.hpp"
@@ -40,19 +40,19 @@
   // settle(). `heard`: the server has begun to respond. Otherwise the request is committed because it is too
   // long or too slow to be retried, which is no evidence about the server. Returns false if the request has
   // ended or is committed to another attempt.
-  bool attemptBegan(const AttemptId& id, bool heard);
+  bool attemptStreaming(const AttemptId& id, bool heard);
   // The attempt has ended and the request ends with it; the module is not asked for a retry.
   void settle(const AttemptId& id, Outcome outcome, Verdict verdict);
   // The front cannot continue with the request: cancels its attempts and fails it.
-  void giveUp(RequestNo no);
+  void failRequest(RequestNo no);
   // An update of the server list from discovery.
-  void told(ListNews news);
+  void updateServers(ServerListUpdate news);
   // Another process that shares this one's slow-start limits has sent to the server.
-  void sentElsewhere(ServerId server, Nanos at);
+  void recordSendByOtherProcess(ServerId server, Nanos at);
   // Sets the number of aggregators that send to the same nodes and this one's index among them.
   void fleet(int aggregators, int number) { module_.add(FleetChanged{aggregators, number}); }
   // Graceful shutdown: every request that is open or taken later has its final answer by `at`.
-  void endBy(Nanos at);
+  void setShutdownDeadline(Nanos at);
   // Applies changed limits and quotas. The module's settings and the tenants' names must not change.
   void agree(const Terms& terms);
   // Runs due timers and fails overdue requests; called by the clock.
@@ -66,7 +66,7 @@
   std::size_t rate(std::size_t tenant) const { return admission_.rate(tenant, clock_.now()); }
 
  private:
-  // Runs a turn of the module now, or batches it with later events (Terms::turnsTogetherFrom, gathering()).
+  // Runs a turn of the module now, or batches it with later events (Terms::batchTurnsFrom, gathering()).
   void runTurn();
   // Runs a turn of the module at once.
   void runTurnNow();
--- a/src/broker/contract.hpp
+++ b/src/broker/contract.hpp
@@ -21,11 +21,11 @@
   Settings settings;  // settings of the decision module
   // From this number of open requests on, events are batched until the next wake-up and reach the module in
   // one turn, because each turn scans every open request. 0: one turn per event.
-  std::size_t turnsTogetherFrom = 0;
+  std::size_t batchTurnsFrom = 0;
   std::vector<Contract> contracts;
   double overShareWorth = 1;  // factor on the worth of a request beyond its tenant's share
   std::size_t maxOpen = 0;    // queries and parts held at once; 0: unlimited
-  Nanos longestDeadline = 0;  // requests with a longer deadline are invalid
+  Nanos maxDeadline = 0;      // requests with a longer deadline are invalid
 };
 
 }  // namespace topazweir::broker
--- a/src/broker/book.cpp
+++ b/src/broker/finish.cpp
@@ -1,4 +1,4 @@
-#include "broker/book.hpp"
+#include "broker/finish.hpp"
 
 namespace topazweir::broker {
 
--- a/src/broker/book.hpp
+++ b/src/broker/finish.hpp
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "broker/counters.hpp"
-#include "broker/open.hpp"
+#include "broker/open_requests.hpp"
 
 namespace topazweir::broker {
 
--- a/src/broker/history.hpp
+++ b/src/broker/history.hpp
@@ -3,7 +3,7 @@
 
 #include <string>
 
-#include "broker/open.hpp"
+#include "broker/open_requests.hpp"
 
 namespace topazweir::broker {
 
--- a/src/broker/log.cpp
+++ b/src/broker/log.cpp
@@ -3,7 +3,7 @@
 namespace topazweir::broker {
 
 namespace {
-constexpr Nanos kWindowNs = 1'000'000'000;  // window of Log::kMostPerSecond
+constexpr Nanos kWindowNs = 1'000'000'000;  // window of Log::kMaxLinesPerSecond
 }
 
 void Log::line(std::string_view event, std::string_view text) {
@@ -15,7 +15,7 @@
     if (window.suppressed > 0) sink_(event, "suppressed=" + std::to_string(window.suppressed));
     window = Window{now, 0, 0};
   }
-  if (window.written >= kMostPerSecond) {
+  if (window.written >= kMaxLinesPerSecond) {
     ++window.suppressed;
     return;
   }
--- a/src/broker/log.hpp
+++ b/src/broker/log.hpp
@@ -18,11 +18,11 @@
   using Now = std::function<Nanos()>;
   Log(Sink sink, Now now) : sink_(std::move(sink)), now_(std::move(now)) {}
 
-  // Writes "event text". Beyond kMostPerSecond lines of one event within a second, lines are counted instead,
-  // and the count is written ("suppressed=N") with the event's first line after that second.
+  // Writes "event text". Beyond kMaxLinesPerSecond lines of one event within a second, lines are counted
+  // instead, and the count is written ("suppressed=N") with the event's first line after that second.
   void line(std::string_view event, std::string_view text);
 
-  static constexpr int kMostPerSecond = 5;
+  static constexpr int kMaxLinesPerSecond = 5;
 
  private:
   struct Window {
--- a/src/broker/relay.hpp
+++ b/src/broker/relay.hpp
@@ -5,7 +5,7 @@
 #include <optional>
 
 #include "broker/counters.hpp"
-#include "broker/open.hpp"
+#include "broker/open_requests.hpp"
 
 namespace topazweir::broker {
 
--- a/src/broker/route.hpp
+++ b/src/broker/route.hpp
@@ -6,7 +6,7 @@
 #include <utility>
 #include <vector>
 
-#include "broker/open.hpp"
+#include "broker/open_requests.hpp"
 
 namespace topazweir::broker {
 
--- a/src/broker/send.cpp
+++ b/src/broker/send.cpp
@@ -22,8 +22,8 @@
   const AttemptId attempt{id.request, id.part, static_cast<int>(part.attempts.size())};
   part.attempts.push_back(Attempt{order.server, now});
   // Enforces the limit of attempts and the deadline, whatever the module orders.
-  const int maxAttempts =
-      limitOf(terms_.settings, terms_.settings.classes[static_cast<std::size_t>(open->request.queryClass)]);
+  const int maxAttempts = maxAttemptsFor(
+      terms_.settings, terms_.settings.classes[static_cast<std::size_t>(open->request.queryClass)]);
   if (attempt.attempt >= maxAttempts || now >= open->due || open->streaming) {
     ++counters_.unsent;
     return attempt;
--- a/src/broker/send.hpp
+++ b/src/broker/send.hpp
@@ -5,7 +5,7 @@
 
 #include "broker/contract.hpp"
 #include "broker/counters.hpp"
-#include "broker/open.hpp"
+#include "broker/open_requests.hpp"
 
 namespace topazweir::broker {
 
--- a/src/broker/take_in.cpp
+++ b/src/broker/take_in.cpp
@@ -21,7 +21,7 @@
   if (open_.hasId(r.id)) return "a request with this id is open";
   if (!below(r.queryClass, terms_.settings.classes.size())) return "unknown class";
   if (!terms_.contracts.empty() && !below(r.tenant, terms_.contracts.size())) return "unknown tenant";
-  if (r.timeLeft <= 0 || r.timeLeft > terms_.longestDeadline) return "the deadline is out of range";
+  if (r.timeLeft <= 0 || r.timeLeft > terms_.maxDeadline) return "the deadline is out of range";
   if (r.parts.empty()) return "the request has no parts";
   std::set<int> shards;
   double weights = 0;
--- a/src/broker/take_in.hpp
+++ b/src/broker/take_in.hpp
@@ -5,7 +5,7 @@
 #include <string>
 
 #include "broker/contract.hpp"
-#include "broker/open.hpp"
+#include "broker/open_requests.hpp"
 
 namespace topazweir::broker {
 
--- a/src/calls/body.hpp
+++ b/src/calls/byte_queue.hpp
@@ -11,7 +11,7 @@
 namespace topazweir::calls {
 
 // Buffer limit shared by all calls of a front: the bytes that they buffer together, in both directions.
-struct Pressure {
+struct BufferBudget {
   std::size_t most = 64 * 1024 * 1024;  // limit in bytes
   std::size_t held = 0;                 // bytes buffered now
   std::size_t peak = 0;                 // highest value of `held` so far
@@ -23,7 +23,7 @@
 // flow-control window.
 class Body {
  public:
-  explicit Body(Pressure& pressure) : pressure_(&pressure) {}
+  explicit Body(BufferBudget& pressure) : pressure_(&pressure) {}
   ~Body() { pressure_->held -= kept_; }
   Body(const Body&) = delete;
   Body& operator=(const Body&) = delete;
@@ -68,7 +68,7 @@
   std::size_t kept() const { return kept_; }  // bytes retained
 
  private:
-  Pressure* pressure_;
+  BufferBudget* pressure_;
   std::deque<std::string> pieces_;
   std::uint64_t end_ = 0;
   std::size_t kept_ = 0;
@@ -76,7 +76,7 @@
 
 // Tracks the message boundaries of a stream without storing its bytes. Each message has a prefix of a flag
 // byte and a length of four bytes (PROTOCOL-HTTP2.md, "Length-Prefixed-Message").
-class Meter {
+class MessageMeter {
  public:
   // Consumes the stream's next bytes. Returns false if a message is longer than `most` bytes.
   bool take(std::string_view bytes, std::size_t most) {
--- a/src/calls/call.cpp
+++ b/src/calls/call.cpp
@@ -17,7 +17,7 @@
   return outstanding_.back();
 }
 
-std::size_t Call::requestTaken(std::uint64_t offset) {
+std::size_t Call::requestConsumed(std::uint64_t offset) {
   if (!committed_) return 0;
   request_.release(offset);
   const auto more = offset > acknowledged_ ? offset - acknowledged_ : 0;
@@ -37,14 +37,14 @@
   return true;
 }
 
-Next Call::ended(int attempt, const Ended& e, Fields trailers, Nanos timeLeft) {
+AttemptDecision Call::ended(int attempt, const Ended& e, Fields trailers, Nanos timeLeft) {
   dropped(attempt);
   if (finished_ || (committed_ && committed_ != attempt))
-    return {false, Outcome::cancelled, Class::failed, 0};
+    return {false, Outcome::cancelled, CallResult::failed, 0};
   const Verdict verdict = verdictOf(e);
-  const auto pushback = readPushback(trailers);
+  const auto pushback = parsePushback(trailers);
   remember(verdict, e, std::move(trailers));
-  Next next{committed_.has_value(), verdict.outcome, last_->counted, 0};
+  AttemptDecision next{committed_.has_value(), verdict.outcome, last_->counted, 0};
   if (next.final) {
     // The call was committed to this attempt, so its end is the call's end.
   } else if (e.ending == Ending::trailers) {
@@ -53,7 +53,7 @@
     const bool retry = policy_.retries(verdict.code) && !pushback.stop && pushback.wait < timeLeft;
     next.final = !retry;
     next.wait = retry ? pushback.wait : 0;
-    if (next.final && last_->counted == Class::answered) next.outcome = Outcome::delivered;
+    if (next.final && last_->counted == CallResult::answered) next.outcome = Outcome::delivered;
     if (retry && next.outcome == Outcome::delivered) next.outcome = Outcome::error;
   } else {
     next.final = e.ending == Ending::tooLarge;  // a retry would exceed the limit again
@@ -64,15 +64,15 @@
 
 // Stores the status for the client: the backend's own unchanged, else one generated here.
 void Call::remember(const Verdict& verdict, const Ended& e, Fields trailers) {
-  Final last;
+  CallStatus last;
   last.code = verdict.code;
   last.fromBackend = e.ending == Ending::trailers;
   if (last.fromBackend) {
-    last.counted = meaningOf(verdict.code).counted;
+    last.counted = interpretStatus(verdict.code).counted;
     last.trailers = toClient(trailers);
   } else {
-    last.counted = Class::failed;
-    last.trailers = writeStatus(verdict.code, verdict.words, std::nullopt);
+    last.counted = CallResult::failed;
+    last.trailers = makeStatusTrailers(verdict.code, verdict.words, std::nullopt);
   }
   // A generated status of a later attempt, such as a refused hedge, must not hide a status that the service
   // itself gave to an earlier one.
@@ -80,26 +80,26 @@
   if (better) last_ = std::move(last);
 }
 
-Final Call::finish(Class counted, bool overdue, Nanos retryAfter) {
+CallStatus Call::finish(CallResult counted, bool overdue, Nanos retryAfter) {
   finished_ = true;
-  Final out;
+  CallStatus out;
   out.counted = counted;
   if (overdue && !decided_) {
     out.code = Code::deadlineExceeded;
-    out.trailers = writeStatus(out.code, "the time for the call has run out", std::nullopt);
-  } else if (last_ && (committed_ || counted != Class::refused || last_->fromBackend)) {
+    out.trailers = makeStatusTrailers(out.code, "the time for the call has run out", std::nullopt);
+  } else if (last_ && (committed_ || counted != CallResult::refused || last_->fromBackend)) {
     out = *last_;
     out.counted = counted;
     // The broker's retry advice is added only where the backend gave none.
-    if (counted == Class::refused && retryAfter > 0 && !readPushback(out.trailers).given)
+    if (counted == CallResult::refused && retryAfter > 0 && !parsePushback(out.trailers).given)
       out.trailers.push_back(writePushback(retryAfter));
-  } else if (counted == Class::refused) {
+  } else if (counted == CallResult::refused) {
     out.code = Code::unavailable;
-    out.trailers = writeStatus(out.code, "no server can take the call now; asking again is harmless",
-                               retryAfter > 0 ? std::optional(retryAfter) : std::nullopt);
+    out.trailers = makeStatusTrailers(out.code, "no server can take the call now; asking again is harmless",
+                                      retryAfter > 0 ? std::optional(retryAfter) : std::nullopt);
   } else {
     out.code = Code::unknown;
-    out.trailers = writeStatus(out.code, "the call has failed and may have run", std::nullopt);
+    out.trailers = makeStatusTrailers(out.code, "the call has failed and may have run", std::nullopt);
   }
   return out;
 }
--- a/src/calls/call.hpp
+++ b/src/calls/call.hpp
@@ -12,40 +12,40 @@
 #include <string>
 #include <vector>
 
-#include "calls/body.hpp"
+#include "calls/byte_queue.hpp"
 #include "calls/metadata.hpp"
 #include "calls/status.hpp"
 
 namespace topazweir::calls {
 
 // The settings of a route for its calls.
-struct Policy {
+struct CallPolicy {
   std::uint32_t retryOn = 1U << static_cast<unsigned>(Code::unavailable);  // bit set of status codes to retry
-  Nanos attemptTime = 0;           // time for an attempt to begin its answer; 0: until the call's deadline
+  Nanos attemptTimeout = 0;        // time for an attempt to begin its answer; 0: until the call's deadline
   std::size_t replay = 64 * 1024;  // replay buffer: bytes of the request kept for a retry
   std::size_t message = 4 * 1024 * 1024;  // largest message in bytes, in either direction
   bool retries(Code code) const { return retryOn >> static_cast<unsigned>(code) & 1U; }
 };
 
 // The final status of a call.
-struct Final {
-  Class counted = Class::failed;
+struct CallStatus {
+  CallResult counted = CallResult::failed;
   Code code = Code::unknown;
   Fields trailers;
   bool fromBackend = false;  // passed on unchanged from the backend
 };
 
 // What follows from the end of an attempt.
-struct Next {
-  bool final = false;                // the call ends with this attempt's status
-  Outcome outcome = Outcome::error;  // reported to the decision module
-  Class counted = Class::failed;     // how the call is counted, if final
-  Nanos wait = 0;                    // pushback: how long the backend asks to wait before a retry
+struct AttemptDecision {
+  bool final = false;                       // the call ends with this attempt's status
+  Outcome outcome = Outcome::error;         // reported to the decision module
+  CallResult counted = CallResult::failed;  // how the call is counted, if final
+  Nanos wait = 0;                           // pushback: how long the backend asks to wait before a retry
 };
 
 class Call {
  public:
-  Call(const Policy& policy, Pressure& pressure)
+  Call(const CallPolicy& policy, BufferBudget& pressure)
       : policy_(policy), pressure_(&pressure), request_(pressure) {}
 
   // ---- the request ----
@@ -63,7 +63,7 @@
   std::optional<int> outgrown() const;
   // The committed attempt has taken the request's bytes up to `offset`. Returns how many further bytes may be
   // acknowledged to the client; 0 for a call that is not committed.
-  std::size_t requestTaken(std::uint64_t offset);
+  std::size_t requestConsumed(std::uint64_t offset);
 
   // ---- attempts ----
 
@@ -75,13 +75,13 @@
   bool commit(int attempt);
   // An attempt's stream has ended. `trailers`: the backend's, if it sent a status. `timeLeft`: until the
   // call's deadline.
-  Next ended(int attempt, const Ended& ended, Fields trailers, Nanos timeLeft);
+  AttemptDecision ended(int attempt, const Ended& ended, Fields trailers, Nanos timeLeft);
 
   // ---- the end ----
 
   // The final status, given how the core has counted the call. `overdue`: its deadline has passed.
   // `retryAfter`: advice to the client of a refused call; 0: none.
-  Final finish(Class counted, bool overdue, Nanos retryAfter);
+  CallStatus finish(CallResult counted, bool overdue, Nanos retryAfter);
   bool finished() const { return finished_; }
 
  private:
@@ -91,18 +91,18 @@
   }
   void remember(const Verdict& verdict, const Ended& ended, Fields trailers);
 
-  Policy policy_;
-  Pressure* pressure_;
+  CallPolicy policy_;
+  BufferBudget* pressure_;
   Body request_;
-  Meter meter_;
+  MessageMeter meter_;
   std::vector<int> outstanding_;  // attempts, oldest first
   std::optional<int> committed_;
   std::uint64_t acknowledged_ = 0;  // bytes of the request acknowledged to the client
   bool requestEnded_ = false;
   bool tooLarge_ = false;
   bool finished_ = false;
-  bool decided_ = false;       // the end of an attempt was final for the call
-  std::optional<Final> last_;  // the status that the client gets if no further attempt ends
+  bool decided_ = false;            // the end of an attempt was final for the call
+  std::optional<CallStatus> last_;  // the status that the client gets if no further attempt ends
 };
 
 }  // namespace topazweir::calls
--- a/src/calls/links.hpp
+++ b/src/calls/connection_choice.hpp
@@ -8,7 +8,7 @@
 namespace topazweir::calls {
 
 // State of one connection.
-struct LinkState {
+struct ConnectionState {
   bool up = false;          // established; false: still connecting
   bool closing = false;     // takes no new streams: GOAWAY received or stream ids exhausted
   std::size_t streams = 0;  // open streams and those waiting for the connection to be established
@@ -16,7 +16,7 @@
 };
 
 // Use the connection at position `at`, open a new one, or none is available.
-struct LinkChoice {
+struct ConnectionChoice {
   enum class Kind { use, open, none } kind = Kind::none;
   std::size_t at = 0;  // for Kind::use
 };
@@ -24,7 +24,7 @@
 // Prefers the established connection with the fewest streams, then the connecting one with the fewest; opens
 // a new one only when all are at their stream limit. Closing connections still serve their open streams and
 // do not count against `mostLinks`.
-inline LinkChoice chooseLink(const std::vector<LinkState>& links, std::size_t mostLinks) {
+inline ConnectionChoice chooseConnection(const std::vector<ConnectionState>& links, std::size_t mostLinks) {
   std::optional<std::size_t> best;
   std::size_t usable = 0;  // connections that accept new streams, now or once established
   for (std::size_t i = 0; i < links.size(); ++i) {
@@ -36,8 +36,8 @@
                         (link.up == links[*best].up && link.streams < links[*best].streams);
     if (better) best = i;
   }
-  if (best) return {LinkChoice::Kind::use, *best};
-  return {usable < mostLinks ? LinkChoice::Kind::open : LinkChoice::Kind::none, 0};
+  if (best) return {ConnectionChoice::Kind::use, *best};
+  return {usable < mostLinks ? ConnectionChoice::Kind::open : ConnectionChoice::Kind::none, 0};
 }
 
 }  // namespace topazweir::calls
--- a/src/calls/metadata.cpp
+++ b/src/calls/metadata.cpp
@@ -36,7 +36,7 @@
   return type.size() == kType.size() || type[kType.size()] == '+' || type[kType.size()] == ';';
 }
 
-std::optional<Path> readPath(std::string_view path) {
+std::optional<Path> parsePath(std::string_view path) {
   if (path.empty() || path.front() != '/') return std::nullopt;
   path.remove_prefix(1);
   const auto slash = path.rfind('/');
@@ -47,12 +47,12 @@
   return out;
 }
 
-std::optional<Refusal> faultOf(const Fields& request) {
+std::optional<Refusal> validateRequest(const Fields& request) {
   if (!isGrpc(request)) return Refusal{415, Code::internal, "the content type is not application/grpc"};
   if (find(request, ":method") != "POST") return Refusal{405, Code::internal, "calls are sent as POST"};
-  if (!readPath(find(request, ":path").value_or("")))
+  if (!parsePath(find(request, ":path").value_or("")))
     return Refusal{200, Code::unimplemented, "the path is not /Service/Method"};
-  if (const auto timeout = find(request, kTimeoutField); timeout && !readTimeout(*timeout))
+  if (const auto timeout = find(request, kTimeoutField); timeout && !parseTimeout(*timeout))
     return Refusal{200, Code::internal, "grpc-timeout is malformed"};
   if (const auto te = find(request, "te"); !te || *te != "trailers")
     return Refusal{200, Code::internal, "te: trailers is missing: some hop drops trailers"};
@@ -69,7 +69,7 @@
   const auto name = given(":authority");
   out.push_back({":authority", name.empty() ? std::string(authority) : name});
   out.push_back({"te", "trailers"});
-  out.push_back({std::string(kTimeoutField), writeTimeout(left)});
+  out.push_back({std::string(kTimeoutField), formatTimeout(left)});
   // Attempts made by the client or an earlier hop are added to this hop's.
   int before = 0;
   if (const auto told = find(request, kPreviousAttemptsField))
@@ -106,7 +106,7 @@
   return out;
 }
 
-Pushback readPushback(const Fields& trailers) {
+Pushback parsePushback(const Fields& trailers) {
   const auto text = find(trailers, kPushbackField);
   if (!text) return {};
   Nanos millis = -1;
@@ -120,7 +120,7 @@
   return {std::string(kPushbackField), std::to_string((wait + 999'999) / 1'000'000)};
 }
 
-Fields writeStatus(Code code, std::string_view words, std::optional<Nanos> retryAfter) {
+Fields makeStatusTrailers(Code code, std::string_view words, std::optional<Nanos> retryAfter) {
   Fields out{{"grpc-status", std::to_string(static_cast<int>(code))}};
   if (!words.empty()) out.push_back({"grpc-message", encodeMessage(words)});
   if (retryAfter) out.push_back(writePushback(*retryAfter));
--- a/src/calls/routes.cpp
+++ b/src/calls/routes.cpp
@@ -17,13 +17,13 @@
   }
 }
 
-auto specificity(const Match& m) {
+auto specificity(const RouteMatch& m) {
   return std::tuple(!m.authority.empty(), m.exact.size(), m.present.size());
 }
 
 // Whether one call could match both: not if they require different authorities or different values of one
 // field.
-bool overlap(const Match& a, const Match& b) {
+bool overlap(const RouteMatch& a, const RouteMatch& b) {
   if (a.authority != b.authority && !a.authority.empty() && !b.authority.empty()) return false;
   for (const auto& x : a.exact)
     for (const auto& y : b.exact)
@@ -38,7 +38,7 @@
 }
 
 // Why the route does not match the header fields; empty if it does.
-std::string mismatch(const Match& m, const Fields& head) {
+std::string mismatch(const RouteMatch& m, const Fields& head) {
   if (!m.authority.empty() && !equalIgnoringCase(find(head, ":authority").value_or(""), m.authority))
     return "the authority is not " + m.authority;
   for (const auto& want : m.exact) {
@@ -52,7 +52,7 @@
 
 }  // namespace
 
-std::string Match::text() const {
+std::string RouteMatch::text() const {
   std::string out = kind == Kind::method    ? "/" + service + "/" + method
                     : kind == Kind::service ? "/" + service + "/*"
                     : kind == Kind::prefix  ? "/" + service + ".*"
@@ -63,7 +63,7 @@
   return out;
 }
 
-std::variant<Routes, std::string> Routes::compile(const std::vector<Match>& matches) {
+std::variant<Routes, std::string> Routes::compile(const std::vector<RouteMatch>& matches) {
   Routes out;
   out.matches_ = matches;
   out.root_ = std::make_unique<Node>();
@@ -73,7 +73,7 @@
 }
 
 void Routes::add(std::size_t route) {
-  const Match& m = matches_[route];
+  const RouteMatch& m = matches_[route];
   Node* at = root_.get();
   const auto go = [&](std::string_view word) {
     auto& next = at->next[std::string(word)];
@@ -81,8 +81,8 @@
     at = next.get();
   };
   forEachComponent(m.service, go);
-  if (m.kind == Match::Kind::method) go("/" + m.method);
-  const bool open = m.kind == Match::Kind::any || m.kind == Match::Kind::prefix;
+  if (m.kind == RouteMatch::Kind::method) go("/" + m.method);
+  const bool open = m.kind == RouteMatch::Kind::any || m.kind == RouteMatch::Kind::prefix;
   (open ? at->prefix : at->exact).push_back(route);
 }
 
@@ -108,8 +108,8 @@
   return std::nullopt;
 }
 
-std::optional<std::size_t> Routes::find(const Fields& head, std::vector<Considered>* considered) const {
-  const auto path = readPath(calls::find(head, ":path").value_or(""));
+std::optional<std::size_t> Routes::find(const Fields& head, std::vector<ExaminedRoute>* considered) const {
+  const auto path = parsePath(calls::find(head, ":path").value_or(""));
   if (!path) return std::nullopt;
   std::vector<const Node*> visited{root_.get()};
   bool whole = true;  // the trie has all components of the service
--- a/src/calls/routes.hpp
+++ b/src/calls/routes.hpp
@@ -21,7 +21,7 @@
 namespace topazweir::calls {
 
 // The conditions of one route.
-struct Match {
+struct RouteMatch {
   enum class Kind : std::uint8_t { any, prefix, service, method };
   Kind kind = Kind::any;
   std::string service;               // for Kind::prefix: whole components, "dawa" for "dawa.stock.Catalogue"
@@ -34,7 +34,7 @@
 };
 
 // A route examined by a look-up.
-struct Considered {
+struct ExaminedRoute {
   std::size_t route;  // index
   std::string why;    // why the route matched or did not match
 };
@@ -43,11 +43,11 @@
  public:
   // Routes are numbered by their position in `matches`. Returns an error message if two routes are equally
   // specific and could match the same call.
-  static std::variant<Routes, std::string> compile(const std::vector<Match>& matches);
+  static std::variant<Routes, std::string> compile(const std::vector<RouteMatch>& matches);
 
   // The route for a request's header fields; nullopt if none matches. `considered`, if given, receives each
   // route examined, in order.
-  std::optional<std::size_t> find(const Fields& head, std::vector<Considered>* considered = nullptr) const;
+  std::optional<std::size_t> find(const Fields& head, std::vector<ExaminedRoute>* considered = nullptr) const;
   std::size_t size() const { return matches_.size(); }
 
  private:
@@ -61,7 +61,7 @@
   std::optional<std::string> sort(std::vector<std::size_t>& routes);
   std::optional<std::string> sortAll(Node& node);
 
-  std::vector<Match> matches_;
+  std::vector<RouteMatch> matches_;
   std::unique_ptr<Node> root_;
 };
 
--- a/src/calls/status.cpp
+++ b/src/calls/status.cpp
@@ -15,26 +15,26 @@
 
 // Indexed by Code. answered: the service gave a definite result, even if it is "not found". refused: it shed
 // the call and expects a retry. failed: the service or the connection to it failed.
-constexpr std::array<Row, kCodes> kRows = {{
-    {"OK", {Class::answered, Outcome::delivered}},
-    {"CANCELLED", {Class::failed, Outcome::error}},
-    {"UNKNOWN", {Class::failed, Outcome::error}},
-    {"INVALID_ARGUMENT", {Class::answered, Outcome::delivered}},
-    {"DEADLINE_EXCEEDED", {Class::failed, Outcome::timedOut}},
-    {"NOT_FOUND", {Class::answered, Outcome::delivered}},
-    {"ALREADY_EXISTS", {Class::answered, Outcome::delivered}},
-    {"PERMISSION_DENIED", {Class::answered, Outcome::delivered}},
+constexpr std::array<Row, kStatusCodeCount> kRows = {{
+    {"OK", {CallResult::answered, Outcome::delivered}},
+    {"CANCELLED", {CallResult::failed, Outcome::error}},
+    {"UNKNOWN", {CallResult::failed, Outcome::error}},
+    {"INVALID_ARGUMENT", {CallResult::answered, Outcome::delivered}},
+    {"DEADLINE_EXCEEDED", {CallResult::failed, Outcome::timedOut}},
+    {"NOT_FOUND", {CallResult::answered, Outcome::delivered}},
+    {"ALREADY_EXISTS", {CallResult::answered, Outcome::delivered}},
+    {"PERMISSION_DENIED", {CallResult::answered, Outcome::delivered}},
     // Like UNAVAILABLE below, servers send this when overloaded but also after they have begun to process the
     // call, so it does not prove that the call did not run.
-    {"RESOURCE_EXHAUSTED", {Class::refused, Outcome::error}},
-    {"FAILED_PRECONDITION", {Class::answered, Outcome::delivered}},
-    {"ABORTED", {Class::answered, Outcome::delivered}},
-    {"OUT_OF_RANGE", {Class::answered, Outcome::delivered}},
-    {"UNIMPLEMENTED", {Class::answered, Outcome::delivered}},
-    {"INTERNAL", {Class::failed, Outcome::error}},
-    {"UNAVAILABLE", {Class::refused, Outcome::error}},
-    {"DATA_LOSS", {Class::failed, Outcome::error}},
-    {"UNAUTHENTICATED", {Class::answered, Outcome::delivered}},
+    {"RESOURCE_EXHAUSTED", {CallResult::refused, Outcome::error}},
+    {"FAILED_PRECONDITION", {CallResult::answered, Outcome::delivered}},
+    {"ABORTED", {CallResult::answered, Outcome::delivered}},
+    {"OUT_OF_RANGE", {CallResult::answered, Outcome::delivered}},
+    {"UNIMPLEMENTED", {CallResult::answered, Outcome::delivered}},
+    {"INTERNAL", {CallResult::failed, Outcome::error}},
+    {"UNAVAILABLE", {CallResult::refused, Outcome::error}},
+    {"DATA_LOSS", {CallResult::failed, Outcome::error}},
+    {"UNAUTHENTICATED", {CallResult::answered, Outcome::delivered}},
 }};
 
 // RFC 9113 section 7, in the order of its codes; the gRPC codes are those of PROTOCOL-HTTP2.md,
@@ -62,22 +62,22 @@
 
 std::string_view nameOf(Code code) { return kRows[static_cast<std::size_t>(code)].name; }
 
-std::optional<Code> codeNamed(std::string_view name) {
+std::optional<Code> parseStatusName(std::string_view name) {
   const auto at = std::find_if(kRows.begin(), kRows.end(), [&](const Row& r) { return r.name == name; });
   if (at == kRows.end()) return std::nullopt;
   return static_cast<Code>(at - kRows.begin());
 }
 
-std::optional<Code> readCode(std::string_view digits) {
+std::optional<Code> parseStatusCode(std::string_view digits) {
   unsigned value = 0;
   const auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), value);
   if (digits.empty() || end != digits.data() + digits.size() || error != std::errc{}) return std::nullopt;
-  return value < kCodes ? static_cast<Code>(value) : Code::unknown;
+  return value < kStatusCodeCount ? static_cast<Code>(value) : Code::unknown;
 }
 
-Meaning meaningOf(Code code) { return kRows[static_cast<std::size_t>(code)].meaning; }
+Meaning interpretStatus(Code code) { return kRows[static_cast<std::size_t>(code)].meaning; }
 
-Code codeOfHttp(int status) {
+Code codeFromHttpStatus(int status) {
   switch (status) {
     case 400:
       return Code::internal;
@@ -101,12 +101,12 @@
   switch (e.ending) {
     case Ending::trailers: {
       const Code code = e.status.value_or(Code::unknown);
-      return {code, "", meaningOf(code).outcome, true};
+      return {code, "", interpretStatus(code).outcome, true};
     }
     case Ending::noStatus:
       return {Code::internal, "the stream ended before its trailers", Outcome::error, true};
     case Ending::badResponse:
-      return {e.http ? codeOfHttp(*e.http) : Code::internal, "the backend's response is not gRPC",
+      return {e.http ? codeFromHttpStatus(*e.http) : Code::internal, "the backend's response is not gRPC",
               Outcome::error, true};
     case Ending::resetByPeer: {
       const bool refused = e.http2 == kRefusedStream;  // RFC 9113 section 8.7: not processed
@@ -115,9 +115,9 @@
     }
     case Ending::aboveGoaway:  // a graceful shutdown: rejected, not a failure
       return {Code::unavailable, "the backend is going away", Outcome::rejected, false};
-    case Ending::lostBefore:
+    case Ending::lostBeforeSend:
       return {Code::unavailable, "no connection to the backend", Outcome::connectFailed, false};
-    case Ending::lostAfter:
+    case Ending::lostAfterSend:
       return {Code::unavailable, "the connection to the backend broke", Outcome::reset, true};
     case Ending::silent:
       return {Code::unavailable, "the backend did not answer in the attempt's time", Outcome::timedOut, true};
--- a/src/calls/status.hpp
+++ b/src/calls/status.hpp
@@ -35,42 +35,42 @@
   dataLoss,
   unauthenticated
 };
-inline constexpr int kCodes = 17;
+inline constexpr int kStatusCodeCount = 17;
 
 // The name as in the gRPC specification, such as "UNAVAILABLE".
 std::string_view nameOf(Code code);
 // The inverse of nameOf(); nullopt for an unknown name.
-std::optional<Code> codeNamed(std::string_view name);
+std::optional<Code> parseStatusName(std::string_view name);
 // Parses the value of a grpc-status field. A number that is no known code gives UNKNOWN, as in gRPC clients;
 // nullopt if it is not a number.
-std::optional<Code> readCode(std::string_view digits);
+std::optional<Code> parseStatusCode(std::string_view digits);
 
 // How a call has ended, as counted in the metrics.
-enum class Class : std::uint8_t { answered, refused, failed };
+enum class CallResult : std::uint8_t { answered, refused, failed };
 
 // Interpretation of a status code.
 struct Meaning {
-  Class counted;    // how a call that ends with it is counted
-  Outcome outcome;  // reported to the decision module for an attempt that ends with it
+  CallResult counted;  // how a call that ends with it is counted
+  Outcome outcome;     // reported to the decision module for an attempt that ends with it
 };
 // For a status that the backend sent itself in complete trailers.
-Meaning meaningOf(Code code);
+Meaning interpretStatus(Code code);
 
 // The status for an HTTP response without grpc-status, sent by a proxy or a server that does not speak gRPC.
-Code codeOfHttp(int status);
+Code codeFromHttpStatus(int status);
 
 // How an attempt's stream ended.
 enum class Ending : std::uint8_t {
-  trailers,     // regular end with a grpc-status
-  noStatus,     // END_STREAM without grpc-status: truncated before its trailers
-  badResponse,  // not a gRPC response
-  resetByPeer,  // RST_STREAM, with an HTTP/2 error code
-  aboveGoaway,  // GOAWAY with a lower last stream id: did not run (RFC 9113 section 6.8)
-  lostBefore,   // the connection failed, or ended before the request was completely written
-  lostAfter,    // the connection ended after the request was completely written
-  silent,       // no answer within the attempt's time-out
-  noStream,     // no connection or stream was available: nothing was sent
-  tooLarge      // a message or the header fields exceed their limit
+  trailers,        // regular end with a grpc-status
+  noStatus,        // END_STREAM without grpc-status: truncated before its trailers
+  badResponse,     // not a gRPC response
+  resetByPeer,     // RST_STREAM, with an HTTP/2 error code
+  aboveGoaway,     // GOAWAY with a lower last stream id: did not run (RFC 9113 section 6.8)
+  lostBeforeSend,  // the connection failed, or ended before the request was completely written
+  lostAfterSend,   // the connection ended after the request was completely written
+  silent,          // no answer within the attempt's time-out
+  noStream,        // no connection or stream was available: nothing was sent
+  tooLarge         // a message or the header fields exceed their limit
 };
 
 // The end of an attempt's stream.
--- a/src/calls/timeout.cpp
+++ b/src/calls/timeout.cpp
@@ -24,7 +24,7 @@
 
 }  // namespace
 
-std::optional<Nanos> readTimeout(std::string_view text) {
+std::optional<Nanos> parseTimeout(std::string_view text) {
   if (text.size() < 2 || text.size() > kMaxDigits + 1) return std::nullopt;
   Nanos value = 0;
   for (const char c : text.substr(0, text.size() - 1)) {
@@ -37,7 +37,7 @@
   return value > kMaxTimeoutNs / unit->nanos ? kMaxTimeoutNs : value * unit->nanos;
 }
 
-std::string writeTimeout(Nanos left) {
+std::string formatTimeout(Nanos left) {
   left = std::max<Nanos>(1, left);
   for (const auto& unit : kUnits)
     if (left / unit.nanos < kValueLimit) return std::to_string(left / unit.nanos) + unit.letter;
--- a/src/cli/demo.cpp
+++ b/src/cli/demo.cpp
@@ -8,8 +8,8 @@
 #include <memory>
 
 #include "cli/serve.hpp"
-#include "lab/grpc_stand_in.hpp"
-#include "lab/stand_in.hpp"
+#include "lab/fake_grpc.hpp"
+#include "lab/fake_server.hpp"
 
 namespace topazweir::cli {
 
@@ -41,11 +41,11 @@
     discovery.list = fmt::format(R"({{"generation":1,"reset":true,"instances":[{},{}]}})",
                                  entry("node-1", node1.address(), 0), entry("node-2", node2.address(), 1));
   }
-  lab::NodeSpeaker nodes;
-  lab::AgentSpeaker discovery;
-  lab::FeatureSpeaker features;
-  lab::StandIn node1, node2, agent, features1, features2;
-  lab::GrpcStandIn grpc1, grpc2;
+  lab::FakeNode nodes;
+  lab::FakeDiscoveryAgent discovery;
+  lab::FakeFeatures features;
+  lab::FakeServer node1, node2, agent, features1, features2;
+  lab::FakeGrpcServer grpc1, grpc2;
 };
 
 struct Addresses {
@@ -136,7 +136,7 @@
   int failures = 0;
   int tries = 0;
   std::unique_ptr<lab::Client> client;
-  std::unique_ptr<lab::GrpcClient> caller;
+  std::unique_ptr<lab::FakeGrpcClient> caller;
   std::function<void()> poll;  // until the client has its answer
   std::vector<std::pair<std::string, std::function<void(std::function<void(std::string)>)>>> queries;
   const auto http = [&](std::string name, const std::string& address, std::function<std::string()> request) {
@@ -154,8 +154,8 @@
   http("features", at.features,
        [] { return std::string("GET /collections/branches/items?limit=3 HTTP/1.1\r\nHost: demo\r\n\r\n"); });
   queries.emplace_back("grpc", [&](auto done) {
-    caller = std::make_unique<lab::GrpcClient>(loop, at.grpc);
-    caller->call("/dawa.Catalogue/Search", "hello", {}, [done](const lab::GrpcClient::Reply& reply) {
+    caller = std::make_unique<lab::FakeGrpcClient>(loop, at.grpc);
+    caller->call("/dawa.Catalogue/Search", "hello", {}, [done](const lab::FakeGrpcClient::Reply& reply) {
       const auto server = calls::find(reply.trailers, "x-server").value_or("?");
       done(reply.status == 0 ? fmt::format("OK \"{}\" from {} in {:.1f} ms", reply.body, server,
                                            static_cast<double>(reply.took) / 1e6)
--- a/src/cli/inspect.cpp
+++ b/src/cli/inspect.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 // Reads the operator file, on top of the platform's configuration if there is one.
-config::Operator readFile(const Options& options) {
+config::OperatorConfig readFile(const Options& options) {
   const auto platform = readPlatform(options);
   return config::readOperator(config::readFile(options.file), options.file,
                               platform ? *platform : config::standalone(0));
@@ -58,12 +58,12 @@
   if (!file.grpc) throw config::ConfigError("key grpc: missing: no route is configured");
   const auto& grpc = *file.grpc;
   const auto head = headerListOf(options);
-  if (!calls::readPath(head[1].value))
+  if (!calls::parsePath(head[1].value))
     throw config::ConfigError("request: " + head[1].value + " is not /package.Service/Method");
-  std::vector<calls::Match> matches;
+  std::vector<calls::RouteMatch> matches;
   for (const auto& route : grpc.routes) matches.push_back(route.match);
   const auto routes = std::get<calls::Routes>(calls::Routes::compile(matches));
-  std::vector<calls::Considered> considered;
+  std::vector<calls::ExaminedRoute> considered;
   const auto found = routes.find(head, &considered);
   for (const auto& c : considered) out << fmt::format("route {}: {}\n", grpc.routes[c.route].name, c.why);
   if (!found) {
@@ -89,22 +89,22 @@
                          b.zone.empty() ? "" : " zone=", b.zone);
   const auto& limits = route.limits;
   const auto timeoutText = calls::find(head, "grpc-timeout");
-  const auto timeout = timeoutText ? calls::readTimeout(*timeoutText) : std::nullopt;
+  const auto timeout = timeoutText ? calls::parseTimeout(*timeoutText) : std::nullopt;
   if (timeoutText && !timeout) {
     out << "grpc-timeout is malformed: the call gets INTERNAL\n";
     return kFailed;
   }
   const bool fromClient = timeout && *timeout < limits.deadline;
-  out << fmt::format("deadline {} ms ({}); aim {} ms\n", calls::timeFor(timeout, limits.deadline) / 1'000'000,
-                     fromClient ? "the client's grpc-timeout" : "the route's deadlineMs",
-                     limits.aim / 1'000'000);
-  out << fmt::format("effect {}; {} attempt(s) at most; hedging {}; an attempt has {}\n",
-                     kEffects[static_cast<int>(limits.effect)], limits.maxAttempts,
-                     limits.copies ? "on" : "off",
-                     route.policy.attemptTime > 0 ? fmt::format("{} ms", route.policy.attemptTime / 1'000'000)
-                                                  : "the call's time");
+  out << fmt::format(
+      "deadline {} ms ({}); aim {} ms\n", calls::effectiveTimeout(timeout, limits.deadline) / 1'000'000,
+      fromClient ? "the client's grpc-timeout" : "the route's deadlineMs", limits.aim / 1'000'000);
+  out << fmt::format(
+      "effect {}; {} attempt(s) at most; hedging {}; an attempt has {}\n",
+      kEffects[static_cast<int>(limits.effect)], limits.maxAttempts, limits.copies ? "on" : "off",
+      route.policy.attemptTimeout > 0 ? fmt::format("{} ms", route.policy.attemptTimeout / 1'000'000)
+                                      : "the call's time");
   std::string codes;
-  for (int code = 1; code < calls::kCodes; ++code)
+  for (int code = 1; code < calls::kStatusCodeCount; ++code)
     if (route.policy.retries(static_cast<calls::Code>(code)))
       codes.append(" ").append(calls::nameOf(static_cast<calls::Code>(code)));
   out << fmt::format("a further attempt after:{}\n", codes.empty() ? " none" : codes);
--- a/src/cli/members.cpp
+++ b/src/cli/members.cpp
@@ -59,7 +59,7 @@
 
 // One line on how far the register is in force, from the leader's view: only the leader receives the counts
 // of all members. Names the leader if its view is not among `views`.
-std::string inForceLine(const std::vector<View>& views) {
+std::string inForceLine(const std::vector<MembershipView>& views) {
   std::string leader;
   for (const auto& v : views) {
     if (!v.leader.empty() && v.leader != "-") leader = v.leader;
@@ -77,13 +77,13 @@
   return leader.empty() ? std::string() : fmt::format("# in force: ask the leader, {}\n", leader);
 }
 
-std::vector<View> queryViews(const Options& options) {
-  std::vector<View> views;
+std::vector<MembershipView> queryViews(const Options& options) {
+  std::vector<MembershipView> views;
   for (const auto& address : options.ops) {
     try {
-      views.push_back(readView(address, call(address, "members")));
+      views.push_back(parseView(address, call(address, "members")));
     } catch (const Poco::Exception& error) {
-      View none;
+      MembershipView none;
       none.address = address;
       none.fault = error.displayText();
       views.push_back(std::move(none));
@@ -93,15 +93,15 @@
 }
 
 // Whether all aggregators have answered and no row of the comparison is marked as different.
-bool allAgree(const std::vector<View>& views) {
-  return std::all_of(views.begin(), views.end(), [](const View& v) { return v.fault.empty(); }) &&
+bool allAgree(const std::vector<MembershipView>& views) {
+  return std::all_of(views.begin(), views.end(), [](const MembershipView& v) { return v.fault.empty(); }) &&
          compare(views).find("\n!") == std::string::npos;
 }
 
 }  // namespace
 
-View readView(const std::string& address, const std::string& answer) {
-  View view;
+MembershipView parseView(const std::string& address, const std::string& answer) {
+  MembershipView view;
   view.address = address;
   std::istringstream lines(answer);
   std::string line;
@@ -127,7 +127,7 @@
   }
   while (std::getline(lines, line)) {
     std::istringstream words(line);
-    View::Row r;
+    MembershipView::Row r;
     if (words >> r.name >> r.state >> r.duty >> r.since >> r.incarnation >> r.zone >> r.version >>
         r.address >> r.open >> r.refused)
       view.rows.push_back(std::move(r));
@@ -135,9 +135,9 @@
   return view;
 }
 
-std::string compare(const std::vector<View>& views) {
+std::string compare(const std::vector<MembershipView>& views) {
   std::string out;
-  std::map<std::string, std::vector<const View::Row*>>
+  std::map<std::string, std::vector<const MembershipView::Row*>>
       byName;  // by member, then by view; null: unknown there
   for (std::size_t i = 0; i < views.size(); ++i) {
     const auto& view = views[i];
@@ -154,15 +154,15 @@
   constexpr const char* kRowFormat = "{} {:<20} {:<8} {:<9} {:>7} {:>5} {:<8} {:<8} {:<21} {:>6} {:>8}  {}\n";
   out += fmt::format(kRowFormat, " ", "name", "state", "duty", "since s", "inc.", "zone", "version",
                      "address", "open", "refused", "says");
-  const auto print = [&](bool marked, const View::Row& r, const std::string& who) {
+  const auto print = [&](bool marked, const MembershipView::Row& r, const std::string& who) {
     out += fmt::format(kRowFormat, marked ? "!" : " ", r.name, r.state, r.duty, r.since, r.incarnation,
                        r.zone, r.version, r.address, r.open, r.refused + "/1000", who);
   };
   for (const auto& [name, rows] : byName) {
-    const auto same = [&](const View::Row* a, const View::Row* b) {
+    const auto same = [&](const MembershipView::Row* a, const MembershipView::Row* b) {
       return a && b && a->state == b->state && a->address == b->address && a->duty == b->duty;
     };
-    const View::Row* first = nullptr;
+    const MembershipView::Row* first = nullptr;
     bool agreed = true;
     for (std::size_t i = 0; i < views.size(); ++i) {
       if (!views[i].fault.empty()) continue;
--- a/src/cli/members.hpp
+++ b/src/cli/members.hpp
@@ -12,7 +12,7 @@
 namespace topazweir::cli {
 
 // One aggregator's answer to the operators' call "members", whose format src/fleet defines.
-struct View {
+struct MembershipView {
   struct Row {
     std::string name, state, duty, since, incarnation, zone, version, address, open, refused;
   };
@@ -33,10 +33,10 @@
 };
 
 // Parses an answer; `address` is only stored. An answer that is not positive sets `fault`.
-View readView(const std::string& address, const std::string& answer);
+MembershipView parseView(const std::string& address, const std::string& answer);
 // Formats a table of all members in any view. Where the views differ on a member, it has one row for each
 // view, marked by '!'.
-std::string compare(const std::vector<View>& views);
+std::string compare(const std::vector<MembershipView>& views);
 
 // Queries the aggregators and prints the comparison, or the evidence about one member. Returns the exit code:
 // kFailed if an aggregator does not answer or the views differ; with a member, if no aggregator knows it.
--- a/src/cli/serve.cpp
+++ b/src/cli/serve.cpp
@@ -56,13 +56,13 @@
   return rows;
 }
 
-snmp::OperationFigures operationFigures(const ops::Side& side) {
+snmp::OperationFigures operationFigures(const ops::OperatorService& side) {
   const auto lines = side.lines();
   return {lines.lines, side.refused(), lines.dropped, side.operation().holds().countOut(),
           side.operation().drained()};
 }
 
-snmp::MembershipFigures membershipFigures(const fleet::Side& side) {
+snmp::MembershipFigures membershipFigures(const fleet::FleetService& side) {
   const auto& c = side.counters();
   const auto& detector = side.detector();
   snmp::MembershipFigures out{detector.alive(),
@@ -72,8 +72,8 @@
                               c.received,
                               c.broken + c.foreign + c.otherVersion,
                               c.votersDiffer,
-                              side.council() ? side.council()->held().commands() : 0,
-                              side.council() && side.council()->leads(),
+                              side.raftGroup() ? side.raftGroup()->held().commands() : 0,
+                              side.raftGroup() && side.raftGroup()->leads(),
                               {},
                               {}};
   if (const auto age = side.registerAge(); age >= 0) out.held.ageMs = static_cast<std::uint64_t>(age / kMs);
@@ -92,7 +92,7 @@
   return out;
 }
 
-snmp::CallFigures callFigures(const grpc::Side& side) {
+snmp::CallFigures callFigures(const grpc::GrpcService& side) {
   const auto& f = side.front().counters();
   const auto c = side.counters();
   snmp::CallFigures out{f.calls,
@@ -112,7 +112,7 @@
                         side.front().streams(),
                         side.front().pressure().held,
                         {}};
-  for (int code = 0; code < calls::kCodes; ++code)
+  for (int code = 0; code < calls::kStatusCodeCount; ++code)
     out.statuses.push_back({std::string(calls::nameOf(static_cast<calls::Code>(code))),
                             f.statuses[static_cast<std::size_t>(code)]});
   return out;
@@ -120,7 +120,7 @@
 
 }  // namespace
 
-std::optional<config::Config> readPlatform(const Options& options) {
+std::optional<config::PlatformConfig> readPlatform(const Options& options) {
   if (!options.platformText.empty()) return config::read(options.platformText);
   const auto file = options.config.empty() ? environment("NODE_CONFIG") : options.config;
   if (file.empty()) return std::nullopt;
@@ -145,8 +145,8 @@
   return out;
 }
 
-config::Operator readOperatorFiles(const Options& options, const config::Config& platform) {
-  config::Operator out;
+config::OperatorConfig readOperatorFiles(const Options& options, const config::PlatformConfig& platform) {
+  config::OperatorConfig out;
   if (!options.operatorText.empty()) out = config::readOperator(options.operatorText, "demo", platform);
   if (!options.operatorFile.empty())
     out = config::readOperator(config::readFile(options.operatorFile), options.operatorFile, platform);
@@ -201,26 +201,26 @@
 void Program::startPlatform() {
   auto& config = *platformConfig_;
   if (config.listener)
-    if (const auto fault = net::inheritedFault(*config.listener))
+    if (const auto fault = net::checkInheritedSocket(*config.listener))
       throw config::ConfigError("key NODE_SOCKET_FD: descriptor " + std::to_string(*config.listener) + " " +
                                 *fault);
   // State is handed over between processes of one aggregator only if the platform passes its listening socket
   // from one to the next.
   const auto folder = environment("TMPDIR");
-  ops::Options options{config.name, config.terms.settings.coldFor, std::nullopt};
+  ops::Options options{config.name, config.terms.settings.warmUpTime, std::nullopt};
   if (config.listener && !folder.empty()) options.folder = folder;
   if (config.listener && folder.empty()) log_.line("state.off", "TMPDIR is not set: no state is handed over");
   ops_.emplace(loop_, log_, options);
   auto inherited = config;
   if (!ops_->inheritedList().empty()) inherited.known = ops_->inheritedList();
-  platform::Operated operated;
+  platform::OperationHooks operated;
   operated.holds = &ops_->operation().holds();
   if (options.folder)
     operated.sent = [this](const auto& leaf, Nanos startedAt) { ops_->sent(leaf, startedAt); };
   operated.listener = config.listener;
   operated.accepts = false;
   const auto operatorConnections = std::clamp<std::size_t>(config.sockets / 16, 4, kMaxOperatorConnections);
-  operated.setApart = config.ops.empty() ? 0 : operatorConnections;
+  operated.reservedDescriptors = config.ops.empty() ? 0 : operatorConnections;
   platform_.emplace(
       loop_, log_, std::move(inherited), [this] { return counters(); }, std::move(operated));
   try {
@@ -273,11 +273,11 @@
 
 void Program::moved(const std::vector<std::string>& leafs) { platform_->moved(leafs); }
 
-void Program::sentElsewhere(const operation::ColdSends::Send& send) {
-  platform_->sentElsewhere(send.instance, send.at);
+void Program::recordSendByOtherProcess(const operation::ColdSends::Send& send) {
+  platform_->recordSendByOtherProcess(send.instance, send.at);
 }
 
-operation::Prepared Program::prepare(bool follows) {
+operation::Readiness Program::prepare(bool follows) {
   // Without a predecessor, connections are made on demand.
   if (follows) platform_->pool().connectAll();
   return {platform_->listTold() || !ops_->inheritedList().empty(), platform_->pool().settled()};
@@ -295,16 +295,16 @@
   if (ops_->operation().drained()) {
     closeConnectionsTimer_ = loop_.after(kCloseConnectionsAfterDrain, [this] { closeClientConnections(); });
   } else {
-    server.endWithAnswers(false);
-    server.endIdle(false);
+    server.setCloseAfterResponse(false);
+    server.setCloseIdle(false);
   }
 }
 
 void Program::closeClientConnections() {
   auto& server = platform_->front().server();
   log_.line("operation.drained", "connections=" + std::to_string(server.connections()));
-  server.endWithAnswers(true);
-  server.endIdle(true);
+  server.setCloseAfterResponse(true);
+  server.setCloseIdle(true);
 }
 
 void Program::reload() {
@@ -402,10 +402,10 @@
     ops_->ends();
     platform_->front().up(ops_->takesClients());
     auto& server = platform_->front().server();
-    server.endIdle(false);
+    server.setCloseIdle(false);
     // The successor accepts on the same socket; connections kept open here are closed with their next answer.
     if (hasSuccessor) {
-      server.endWithAnswers(true);
+      server.setCloseAfterResponse(true);
       server.stopListening(true);
     }
   }
@@ -414,7 +414,7 @@
     for (const auto& c : platform_->config().terms.settings.classes) longest = std::max(longest, c.deadline);
     answeredBy_ =
         loop_.now() + std::min(longest, kMaxCountedDeadline) + kMinTimeToKill - kFinalAnswersBeforeKill;
-    platform_->endBy(answeredBy_);
+    platform_->setShutdownDeadline(answeredBy_);
   }
   if (fleet_) hasSuccessor ? fleet_->stop() : fleet_->says(membership::Duty::leaving);
   if (grpc_) grpc_->front().drain();
@@ -427,7 +427,7 @@
 void Program::finishShutdown() {
   if (platform_) platform_->front().server().stopAccepting();
   const bool late = platform_ && loop_.now() >= answeredBy_;
-  if (late) platform_->front().server().endUnfinished();
+  if (late) platform_->front().server().rejectUnfinished();
   if (features_) features_->server().stopAccepting();
   if (grpc_) grpc_->front().stopAccepting();
   const bool idle = (!platform_ || platform_->quiet()) && (!grpc_ || grpc_->front().quiet()) &&
--- a/src/cli/serve.hpp
+++ b/src/cli/serve.hpp
@@ -9,12 +9,12 @@
 
 #include "cli/options.hpp"
 #include "config/operator_config.hpp"
-#include "features/side.hpp"
-#include "fleet/side.hpp"
-#include "grpc/side.hpp"
+#include "features/features_service.hpp"
+#include "fleet/fleet_service.hpp"
+#include "grpc/grpc_service.hpp"
 #include "net/loop.hpp"
-#include "ops/side.hpp"
-#include "platform/side.hpp"
+#include "ops/operator_service.hpp"
+#include "platform/platform_service.hpp"
 #include "snmp/agent.hpp"
 
 namespace topazweir::cli {
@@ -22,9 +22,9 @@
 // Reads the platform's configuration from the file of --config or else of NODE_CONFIG; none if neither is
 // given, which leaves the platform's part off. NODE_LISTEN, NODE_OPS and NODE_SOCKET_FD override the file's
 // values. Throws ConfigError.
-std::optional<config::Config> readPlatform(const Options& options);
+std::optional<config::PlatformConfig> readPlatform(const Options& options);
 // Reads the operator file and the files of single fronts. Throws ConfigError.
-config::Operator readOperatorFiles(const Options& options, const config::Config& platform);
+config::OperatorConfig readOperatorFiles(const Options& options, const config::PlatformConfig& platform);
 
 // All parts of a running aggregator. Parts that are not configured are absent.
 class Program : private ops::Host, private fleet::Host {
@@ -50,10 +50,10 @@
   // ops::Host
   bool listed(std::string_view instance) const override;
   void moved(const std::vector<std::string>& leafs) override;
-  void sentElsewhere(const operation::ColdSends::Send& send) override;
+  void recordSendByOtherProcess(const operation::ColdSends::Send& send) override;
   void clientsChanged() override;
   void share(bool shared) override { platform_->share(shared); }
-  operation::Prepared prepare(bool follows) override;
+  operation::Readiness prepare(bool follows) override;
   void serve() override { platform_->front().server().startAccepting(); }
   std::string list() const override { return platform_->list(); }
   std::optional<std::string> answer(std::string_view line) const override;
@@ -64,16 +64,16 @@
 
   Options options_;
   net::Loop& loop_;
-  std::optional<config::Config> platformConfig_;
-  config::Config base_;  // the platform's configuration, or config::standalone() without one
-  config::Operator operator_;
+  std::optional<config::PlatformConfig> platformConfig_;
+  config::PlatformConfig base_;  // the platform's configuration, or config::standalone() without one
+  config::OperatorConfig operator_;
   telemetry::LogWriter writer_;
   broker::Log log_;
-  std::optional<ops::Side> ops_;  // present exactly if platform_ is
-  std::optional<platform::Side> platform_;
+  std::optional<ops::OperatorService> ops_;  // present exactly if platform_ is
+  std::optional<platform::PlatformService> platform_;
   std::optional<features::FeaturesService> features_;
-  std::optional<grpc::Side> grpc_;
-  std::optional<fleet::Side> fleet_;
+  std::optional<grpc::GrpcService> grpc_;
+  std::optional<fleet::FleetService> fleet_;
   std::optional<snmp::Agent> snmp_;
   bool shuttingDown_ = false;
   Nanos answeredBy_ = 0;  // when shutting down: the time by which all open requests have their final answer
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -70,24 +70,24 @@
   s.partsPerCall = count("familyInfo.partsACall", 1, 1);
   s.callOverhead = duration(reader, "familyInfo.overheadNs", 0);
   s.maxAttempts = count("limits.maxAttempts", 1, 1);
-  s.secondCopies = reader.flag("limits.secondCopies", false);
+  s.hedging = reader.flag("limits.secondCopies", false);
   s.cancelling = reader.flag("limits.cancelling", false);
-  s.repeatsMarked = reader.flag("clients.marksRetry", true);
+  s.retriesMarked = reader.flag("clients.marksRetry", true);
   s.retryAfter = reader.flag("limits.retryAfter", false);
   s.maxRetryAfter = duration(reader, "limits.maxRetryAfterNs", 2 * kSecond);
   s.answerSlack = duration(reader, "guarantees.graceToAnswerNs", 0);
-  s.coldFrom = reader.number("guarantees.coldFrom", 0, 1, 1);
-  s.coldFor = duration(reader, "guarantees.coldNs", 0);
-  s.tipMultiple = reader.number("guarantees.tipMultiple", 0, 1e9, 0);
-  s.tipWindow = duration(reader, "guarantees.overloadForNs", 0);
+  s.coldCapacityShare = reader.number("guarantees.coldFrom", 0, 1, 1);
+  s.warmUpTime = duration(reader, "guarantees.coldNs", 0);
+  s.overloadMultiple = reader.number("guarantees.tipMultiple", 0, 1e9, 0);
+  s.overloadWindow = duration(reader, "guarantees.overloadForNs", 0);
   s.drainGrace = duration(reader, "guarantees.drainGraceNs", 0);
   s.wastePrice = reader.number("tariffs.waste", 0, 1e9, 0);
   s.lateFailPrice = reader.number("tariffs.lateFail", 0, 1e9, 0);
   s.crossZonePrice = reader.number("tariffs.crossZone", 0, 1e9, 0);
   if (reader.find("guarantees.countedOverNs") != nullptr)
-    s.budget = AttemptBudget{reader.integer("guarantees.countedOverNs", 1, kMaxDurationNs),
-                             reader.number("guarantees.minExtra", 0, 1e9, 0),
-                             reader.number("guarantees.extraRatio", 0, 1e9, 0)};
+    s.budget = RetryBudget{reader.integer("guarantees.countedOverNs", 1, kMaxDurationNs),
+                           reader.number("guarantees.minExtra", 0, 1e9, 0),
+                           reader.number("guarantees.extraRatio", 0, 1e9, 0)};
   for (const auto& profile : reader.objects("profiles"))
     s.classes.push_back(readClass(reader, profile, s.classes.size()));
   if (const auto fault = findFault(s)) reader.fail("", *fault);
@@ -103,10 +103,10 @@
   return text.str();
 }
 
-Config read(std::string_view text) {
+PlatformConfig read(std::string_view text) {
   const Node root = readJson(text);
   const Reader reader(root);
-  Config out;
+  PlatformConfig out;
   out.name = reader.text("name", "node");
   out.listen = reader.address("listen");
   out.discovery = reader.address("discovery");
@@ -124,17 +124,17 @@
     out.terms.contracts.push_back(
         {realm.text("name"), realm.number("share", 0, 1, 0), realm.number("quotaPerS", 0, 1e9, 0)});
   for (const auto& c : out.terms.settings.classes)
-    out.terms.longestDeadline = std::max(out.terms.longestDeadline, kMaxDeadlineFactor * c.deadline);
+    out.terms.maxDeadline = std::max(out.terms.maxDeadline, kMaxDeadlineFactor * c.deadline);
   out.zones = settings.texts("localities");
   out.pushed = settings.text("discovery", "on_request") == "pushed";
   out.streamsPerConnection =
       static_cast<std::size_t>(settings.integer("limits.streamsPerConn", 1, kMaxCount, 1));
   out.connectTimeout = settings.integer("limits.connectTimeoutNs", 1, kMaxDurationNs, kSecond / 4);
-  out.connectionIdle = duration(settings, "limits.connIdleNs", 30 * kSecond);
+  out.connectionIdleTimeout = duration(settings, "limits.connIdleNs", 30 * kSecond);
   return out;
 }
 
-std::vector<std::string> keepUntilRestart(const Config& running, Config& fresh) {
+std::vector<std::string> resetKeysThatNeedRestart(const PlatformConfig& running, PlatformConfig& fresh) {
   std::vector<std::string> keys;
   const auto keep = [&](const char* key, const auto& runningValue, auto& freshValue) {
     if (runningValue == freshValue) return;
@@ -146,7 +146,7 @@
   keep("ops", running.ops, fresh.ops);
   keep("settings.localities", running.zones, fresh.zones);
   keep("settings.discovery", running.pushed, fresh.pushed);
-  const auto tenantNames = [](const Config& config) {
+  const auto tenantNames = [](const PlatformConfig& config) {
     std::vector<std::string> out;
     for (const auto& contract : config.terms.contracts) out.push_back(contract.tenant);
     return out;
@@ -160,7 +160,7 @@
   // The decision module is constructed from these settings. Rebuilding it would lose what it has learned
   // about the servers.
   keep("settings (of the decisions)", running.terms.settings, fresh.terms.settings);
-  fresh.terms.longestDeadline = running.terms.longestDeadline;
+  fresh.terms.maxDeadline = running.terms.maxDeadline;
   return keys;
 }
 
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -13,7 +13,7 @@
 namespace topazweir::config {
 
 // The platform's settings, checked, with defaults filled in. Durations are nanoseconds.
-struct Config {
+struct PlatformConfig {
   std::string name;            // of this process, in log lines
   std::string listen;          // address:port for clients
   std::string discovery;       // address:port of the discovery service
@@ -26,17 +26,17 @@
   bool pushed = false;
   std::size_t streamsPerConnection = 1;
   Nanos connectTimeout = 0;
-  Nanos connectionIdle = 0;     // idle timeout of connections to nodes
-  std::optional<int> listener;  // listening socket inherited from the platform, as a file descriptor
-  std::string known;            // last known node list, as JSON in discovery's format; empty: none
+  Nanos connectionIdleTimeout = 0;  // idle timeout of connections to nodes
+  std::optional<int> listener;      // listening socket inherited from the platform, as a file descriptor
+  std::string known;                // last known node list, as JSON in discovery's format; empty: none
 };
 
 // Parses the platform's JSON configuration. Throws ConfigError.
-Config read(std::string_view json);
+PlatformConfig read(std::string_view json);
 
 // Returns the keys whose values differ between `running` and `fresh` and take effect only after a restart.
 // In `fresh` these are reset to the running values, so that the rest of it can be applied.
-std::vector<std::string> keepUntilRestart(const Config& running, Config& fresh);
+std::vector<std::string> resetKeysThatNeedRestart(const PlatformConfig& running, PlatformConfig& fresh);
 
 // Returns the whole content of a file. Throws ConfigError if it cannot be read.
 std::string readFile(const std::string& path);
--- a/src/config/features_config.cpp
+++ b/src/config/features_config.cpp
@@ -16,7 +16,7 @@
 
 FeatureServer readServer(const Reader& reader) {
   FeatureServer server{reader.address("address"), ServerState::up};
-  server.state = readState(reader);
+  server.state = readServerState(reader);
   return server;
 }
 
@@ -30,30 +30,30 @@
 
 }  // namespace
 
-ServerState readState(const Reader& reader) {
+ServerState readServerState(const Reader& reader) {
   return static_cast<ServerState>(reader.choice("state", {"ready", "draining", "gone"}, 0));
 }
 
-Settings settingsFor(const Settings& platformSettings, int shards) {
+Settings settingsForStaticServers(const Settings& platformSettings, int shards) {
   Settings s = platformSettings;
   s.shards = shards;
   s.cells = shards;
   s.reach = 1;
   s.partsPerCall = 1;
   s.callOverhead = 0;
-  s.coldFor = 0;
-  s.tipWindow = 0;
-  s.tipMultiple = 0;
+  s.warmUpTime = 0;
+  s.overloadWindow = 0;
+  s.overloadMultiple = 0;
   s.retryAfter = true;
   return s;
 }
 
-FeaturesConfig readFeatures(std::string_view text, const Config& platform) {
+FeaturesConfig readFeatures(std::string_view text, const PlatformConfig& platform) {
   const Node root = readJson(text);
   return readFeatures(Reader(root, "features."), platform);
 }
 
-FeaturesConfig readFeatures(const Reader& reader, const Config& platform) {
+FeaturesConfig readFeatures(const Reader& reader, const PlatformConfig& platform) {
   FeaturesConfig out;
   out.listen = reader.address("listen");
   out.title = reader.text("title", "Branch locations");
@@ -78,7 +78,7 @@
   if (out.groups.empty()) reader.fail("groups", "missing or empty");
 
   Settings& s = out.terms.settings;
-  s = settingsFor(platform.terms.settings, static_cast<int>(out.groups.size()));
+  s = settingsForStaticServers(platform.terms.settings, static_cast<int>(out.groups.size()));
   s.maxAttempts = static_cast<int>(reader.integer("maxAttempts", 1, 4, std::min(4, s.maxAttempts)));
   QueryClass search;
   search.name = reader.text("class", "feature-search");
@@ -92,7 +92,7 @@
   lookup.floor = 1;
   s.classes = {search, lookup};
   out.terms.maxOpen = static_cast<std::size_t>(reader.integer("maxOpen", 1, 1'000'000, 400));
-  out.terms.longestDeadline = out.deadline;
+  out.terms.maxDeadline = out.deadline;
   return out;
 }
 
--- a/src/config/features_config.hpp
+++ b/src/config/features_config.hpp
@@ -41,14 +41,14 @@
 
 // Reads the front's configuration. Decision settings and the seed are taken from `platform`. Throws
 // ConfigError.
-FeaturesConfig readFeatures(std::string_view json, const Config& platform);
-FeaturesConfig readFeatures(const Reader& reader, const Config& platform);
+FeaturesConfig readFeatures(std::string_view json, const PlatformConfig& platform);
+FeaturesConfig readFeatures(const Reader& reader, const PlatformConfig& platform);
 
 // Returns `platformSettings` adapted to statically configured servers: one cell per shard, one part per call,
 // and no cold starts, since such servers do not announce when they started.
-Settings settingsFor(const Settings& platformSettings, int shards);
+Settings settingsForStaticServers(const Settings& platformSettings, int shards);
 
 // Reads a server's key "state": ready (the default), draining or gone. Throws ConfigError.
-ServerState readState(const Reader& reader);
+ServerState readServerState(const Reader& reader);
 
 }  // namespace topazweir::config
--- a/src/config/grpc_config.cpp
+++ b/src/config/grpc_config.cpp
@@ -28,7 +28,7 @@
   GrpcBackend b;
   b.address = reader.address("name");
   b.zone = reader.text("zone", "");
-  b.state = readState(reader);
+  b.state = readServerState(reader);
   for (const auto shard : reader.integers("shards", 0, pool.shards - 1))
     b.shards.push_back(static_cast<int>(shard));
   if (b.shards.empty())
@@ -57,11 +57,11 @@
   for (int s = 0; s < pool.shards; ++s)
     if (heldShards.count(s) == 0) reader.fail("backend", "no backend holds shard " + std::to_string(s));
   pool.terms.name = pool.name;
-  pool.terms.turnsTogetherFrom = kBatchTurnsFrom;
+  pool.terms.batchTurnsFrom = kBatchTurnsFrom;
   // A call counts twice: as a query and as its only part.
   pool.terms.maxOpen = 2 * static_cast<std::size_t>(reader.integer("calls", 1, kMaxCount, 20'000));
   Settings& s = pool.terms.settings;
-  s = settingsFor(platformSettings, pool.shards);
+  s = settingsForStaticServers(platformSettings, pool.shards);
   s.aggregators = 1;
   s.number = 0;
   s.tick = kTickNs;
@@ -69,13 +69,13 @@
   s.cancelling = true;
   s.maxRetryAfter = reader.millis("maxRetryAfterMs", 1, kDayMs, 2'000);
   s.maxAttempts = kMaxAttempts;
-  s.secondCopies = false;
+  s.hedging = false;
   s.classes.clear();
   return pool;
 }
 
-calls::Match readMatch(const Reader& reader) {
-  calls::Match match;
+calls::RouteMatch readMatch(const Reader& reader) {
+  calls::RouteMatch match;
   const bool service = reader.find("service") != nullptr;
   const bool prefix = reader.find("prefix") != nullptr;
   if (service && prefix) reader.fail("prefix", "cannot be combined with service");
@@ -85,10 +85,10 @@
   if (method.find('/') != std::string::npos || match.service.find('/') != std::string::npos)
     reader.fail(service ? "service" : "prefix", "contains a slash: service and method are separate keys");
   match.method = method;
-  match.kind = !method.empty()          ? calls::Match::Kind::method
-               : service                ? calls::Match::Kind::service
-               : !match.service.empty() ? calls::Match::Kind::prefix
-                                        : calls::Match::Kind::any;
+  match.kind = !method.empty()          ? calls::RouteMatch::Kind::method
+               : service                ? calls::RouteMatch::Kind::service
+               : !match.service.empty() ? calls::RouteMatch::Kind::prefix
+                                        : calls::RouteMatch::Kind::any;
   match.authority = reader.text("authority", "");
   std::transform(match.authority.begin(), match.authority.end(), match.authority.begin(),
                  [](unsigned char c) { return static_cast<char>(std::tolower(c)); });
@@ -103,10 +103,10 @@
 
 // Returns the statuses to retry on as a bit set, indexed by status code.
 std::uint32_t readRetryOn(const Reader& reader) {
-  if (reader.find("retryOn") == nullptr) return calls::Policy{}.retryOn;
+  if (reader.find("retryOn") == nullptr) return calls::CallPolicy{}.retryOn;
   std::uint32_t bits = 0;
   for (const auto& name : reader.texts("retryOn")) {
-    const auto code = calls::codeNamed(name);
+    const auto code = calls::parseStatusName(name);
     if (!code || *code == calls::Code::ok)
       reader.fail("retryOn", name + " is no status to retry on, such as UNAVAILABLE");
     bits |= 1U << static_cast<unsigned>(*code);
@@ -127,7 +127,7 @@
   c.deadline = reader.millis("deadlineMs", 1, kDayMs, 10'000);
   c.aim = reader.millis("aimMs", 1, c.deadline / 1'000'000,
                         std::clamp<std::int64_t>(c.deadline / 2'000'000, 1, 1000));
-  c.leastLate = reader.millis("lateMs", 0, kDayMs, std::clamp<std::int64_t>(c.aim / 5'000'000, 1, 100));
+  c.minLateTime = reader.millis("lateMs", 0, kDayMs, std::clamp<std::int64_t>(c.aim / 5'000'000, 1, 100));
   c.lateWorth = kLateWorth;  // a late answer still has worth: only the deadline ends a call
   c.effect = static_cast<Effect>(reader.choice("effect", {"safe", "keyed", "unsafe"}, 2));
   c.keyedWindow = reader.millis("keyedMs", 0, kDayMs, 0);
@@ -136,7 +136,7 @@
   c.copies = reader.flag("hedging", false);
   if (c.copies && c.effect != Effect::safe)
     reader.fail("hedging", "only a safe call may be sent twice at once");
-  route.policy.attemptTime = reader.millis("attemptMs", 0, kDayMs, 0);
+  route.policy.attemptTimeout = reader.millis("attemptMs", 0, kDayMs, 0);
   route.policy.retryOn = readRetryOn(reader);
   route.policy.replay = static_cast<std::size_t>(reader.integer("replayBytes", 0, 16 * kMaxCount, 64 * 1024));
   route.policy.message =
@@ -146,8 +146,8 @@
 
 }  // namespace
 
-Grpc readGrpc(const Reader& reader, const Config& platform) {
-  Grpc out;
+GrpcConfig readGrpc(const Reader& reader, const PlatformConfig& platform) {
+  GrpcConfig out;
   out.listen = reader.address("listen");
   out.connections = static_cast<std::size_t>(reader.integer("connections", 1, kMaxCount, 256));
   out.streams = static_cast<std::size_t>(reader.integer("streams", 1, kMaxCount, 1000));
@@ -159,7 +159,7 @@
   out.idle = reader.millis("idleMs", 100, kDayMs, 60'000);
   out.drain = reader.millis("drainMs", 0, kDayMs, 30'000);
   out.keepalive = reader.millis("keepaliveMs", 0, kDayMs, 300'000);
-  out.openAfter = reader.millis("openAfterMs", 1, kDayMs, 100);
+  out.streamingAfter = reader.millis("openAfterMs", 1, kDayMs, 100);
   out.logCalls = reader.flag("logCalls", false);
 
   std::set<std::string> names;
@@ -169,7 +169,7 @@
   }
   if (out.pools.empty()) reader.fail("pool", "missing: at least one pool is needed");
   names.clear();
-  std::vector<calls::Match> matches;
+  std::vector<calls::RouteMatch> matches;
   for (const auto& route : reader.objects("route")) {
     out.routes.push_back(readRoute(route, out.pools));
     if (!names.insert(out.routes.back().name).second) route.fail("name", "duplicate name");
@@ -183,8 +183,8 @@
     auto& terms = out.pools[route.pool].terms;
     route.queryClass = static_cast<int>(terms.settings.classes.size());
     terms.settings.classes.push_back(route.limits);
-    terms.settings.secondCopies = terms.settings.secondCopies || route.limits.copies;
-    terms.longestDeadline = std::max(terms.longestDeadline, route.limits.deadline);
+    terms.settings.hedging = terms.settings.hedging || route.limits.copies;
+    terms.maxDeadline = std::max(terms.maxDeadline, route.limits.deadline);
   }
   for (std::size_t p = 0; p < out.pools.size(); ++p)
     if (out.pools[p].terms.settings.classes.empty())
--- a/src/config/grpc_config.hpp
+++ b/src/config/grpc_config.hpp
@@ -27,15 +27,15 @@
 
 struct GrpcRoute {
   std::string name;
-  calls::Match match;
+  calls::RouteMatch match;
   std::size_t pool = 0;  // index in Grpc::pools
   int queryClass = 0;    // index among the classes of its pool
   QueryClass limits;     // the route's class: aim, deadline, effect, attempts
-  calls::Policy policy;
+  calls::CallPolicy policy;
 };
 
 // The gRPC front's settings. Durations are nanoseconds.
-struct Grpc {
+struct GrpcConfig {
   std::string listen;           // address:port
   std::size_t connections = 0;  // limit on client connections
   std::size_t streams = 0;      // limit on open streams per client connection
@@ -48,13 +48,13 @@
   Nanos keepalive = 0;  // interval between keep-alive pings
   // A call whose request stays open longer than this is treated as a stream: it has no idle timeout of its
   // backend and is not retried.
-  Nanos openAfter = 0;
+  Nanos streamingAfter = 0;
   bool logCalls = false;  // log every call
   std::vector<GrpcPool> pools;
   std::vector<GrpcRoute> routes;
 };
 
 // Reads the block `grpc`. Decision settings and the seed are taken from `platform`. Throws ConfigError.
-Grpc readGrpc(const Reader& block, const Config& platform);
+GrpcConfig readGrpc(const Reader& block, const PlatformConfig& platform);
 
 }  // namespace topazweir::config
--- a/src/config/hcl.cpp
+++ b/src/config/hcl.cpp
@@ -232,12 +232,15 @@
 template <>
 inline constexpr const char* kMessage<EndOfFile> = "expected a name";
 
+// The names of the members are prescribed by PEGTL's must_if.
+// NOLINTBEGIN(readability-identifier-naming)
 struct Messages {
   template <class Rule>
   static constexpr auto message = kMessage<Rule>;
   template <class Rule>
   static constexpr bool raise_on_failure = false;  // failures are errors only at `must` rules
 };
+// NOLINTEND(readability-identifier-naming)
 template <class Rule>
 using Control = peg::must_if<Messages>::control<Rule>;
 
--- a/src/config/membership_config.cpp
+++ b/src/config/membership_config.cpp
@@ -36,7 +36,7 @@
   return false;
 }
 
-void readVoters(const Reader& reader, Membership& out) {
+void readVoters(const Reader& reader, MembershipConfig& out) {
   for (const auto& block : reader.objects("voter")) {
     out.voters.push_back({readToken(block, "name"), block.address("address")});
     const auto& voter = out.voters.back();
@@ -57,7 +57,7 @@
 
 // Settings of the register's dissemination. They must be the same in the files of all members, which derive
 // the same dissemination tree from them.
-void readDissemination(const Reader& reader, Membership& out) {
+void readDissemination(const Reader& reader, MembershipConfig& out) {
   out.relays = reader.texts("relays");
   for (const auto& relay : out.relays) {
     checkToken(reader, "relays", relay);
@@ -69,35 +69,36 @@
   if (hasDuplicates(out.relays, [](const std::string& r) { return r; }))
     reader.fail("relays", "duplicate name");
   out.fanOut = static_cast<std::size_t>(reader.integer("fanOut", 2, 64, 5));
-  out.changeBytesPerS =
+  out.changeBytesPerSecond =
       static_cast<std::size_t>(reader.integer("changeBytesPerS", 512, kMaxChangeBytesPerSecond, 2048));
 }
 
 }  // namespace
 
-std::vector<std::string> Membership::voterNames() const {
+std::vector<std::string> MembershipConfig::voterNames() const {
   std::vector<std::string> out;
   for (const auto& voter : voters) out.push_back(voter.name);
   return out;
 }
 
-bool Membership::operator==(const Membership& o) const {
-  const auto all = [](const Membership& m) {
-    return std::tie(m.name, m.fleet, m.listen, m.advertise, m.zone, m.seeds, m.state, m.period, m.answerTime,
-                    m.syncEvery, m.forgetAfter, m.relays, m.fanOut, m.changeBytesPerS);
+bool MembershipConfig::operator==(const MembershipConfig& o) const {
+  const auto all = [](const MembershipConfig& m) {
+    return std::tie(m.name, m.fleet, m.listen, m.advertise, m.zone, m.seeds, m.state, m.period,
+                    m.probeTimeout, m.syncInterval, m.forgetTimeout, m.relays, m.fanOut,
+                    m.changeBytesPerSecond);
   };
   const auto same = [](const Voter& a, const Voter& b) { return a.name == b.name && a.address == b.address; };
   return all(*this) == all(o) &&
          std::equal(voters.begin(), voters.end(), o.voters.begin(), o.voters.end(), same);
 }
 
-bool Membership::votes() const {
+bool MembershipConfig::votes() const {
   const auto own = [this](const Voter& voter) { return voter.name == name; };
   return !state.empty() && std::any_of(voters.begin(), voters.end(), own);
 }
 
-Membership readMembership(const Reader& reader, const std::string& name) {
-  Membership out;
+MembershipConfig readMembership(const Reader& reader, const std::string& name) {
+  MembershipConfig out;
   out.name = readToken(reader, "name", name);
   if (out.name.empty()) reader.fail("name", "empty");
   out.fleet = readToken(reader, "fleet");
@@ -119,9 +120,9 @@
   out.period = reader.millis("periodMs", 50, kMinuteMs, 1000);
   // Within one period the direct probe must time out and the indirect probes be answered.
   const auto periodMs = out.period / 1'000'000;
-  out.answerTime = reader.millis("answerMs", 10, periodMs / 2, periodMs * 2 / 5);
-  out.syncEvery = reader.millis("syncMs", periodMs, 60 * kMinuteMs, 30 * periodMs);
-  out.forgetAfter = reader.millis("forgetMs", 10 * periodMs, 24 * 60 * kMinuteMs, 600 * periodMs);
+  out.probeTimeout = reader.millis("answerMs", 10, periodMs / 2, periodMs * 2 / 5);
+  out.syncInterval = reader.millis("syncMs", periodMs, 60 * kMinuteMs, 30 * periodMs);
+  out.forgetTimeout = reader.millis("forgetMs", 10 * periodMs, 24 * 60 * kMinuteMs, 600 * periodMs);
   readDissemination(reader, out);
   return out;
 }
--- a/src/config/operator_config.cpp
+++ b/src/config/operator_config.cpp
@@ -7,10 +7,10 @@
 constexpr Nanos kMs = 1'000'000;
 }
 
-Operator readOperator(std::string_view hcl, const std::string& file, const Config& platform) {
+OperatorConfig readOperator(std::string_view hcl, const std::string& file, const PlatformConfig& platform) {
   const Node root = readHcl(hcl, file);
   const Reader reader(root, "", file);
-  Operator out;
+  OperatorConfig out;
   if (const auto log = reader.object("log")) {
     out.log.format = static_cast<telemetry::Format>(log->choice("format", {"text", "json"}, 0));
     out.log.level =
@@ -27,22 +27,22 @@
   return out;
 }
 
-Config standalone(std::uint64_t seed) {
-  Config out;
+PlatformConfig standalone(std::uint64_t seed) {
+  PlatformConfig out;
   Settings& s = out.terms.settings;
   s.seed = seed;
   s.tick = 5 * kMs;
   s.shards = 1;
   s.maxAttempts = 4;
-  s.secondCopies = true;
+  s.hedging = true;
   s.cancelling = true;
   s.retryAfter = true;
   s.maxRetryAfter = 2000 * kMs;
   s.drainGrace = 500 * kMs;
   s.classes.push_back({.name = "query", .aim = 1000 * kMs, .deadline = 2000 * kMs});
-  out.terms.longestDeadline = 20'000 * kMs;
+  out.terms.maxDeadline = 20'000 * kMs;
   out.connectTimeout = 250 * kMs;
-  out.connectionIdle = 30'000 * kMs;
+  out.connectionIdleTimeout = 30'000 * kMs;
   return out;
 }
 
--- a/src/config/operator_config.hpp
+++ b/src/config/operator_config.hpp
@@ -15,20 +15,20 @@
 namespace topazweir::config {
 
 // A block that is absent from the file leaves its part switched off.
-struct Operator {
+struct OperatorConfig {
   telemetry::LogOptions log;
   std::optional<FeaturesConfig> features;
   std::optional<SnmpConfig> snmp;
-  std::optional<Grpc> grpc;
-  std::optional<Membership> membership;
+  std::optional<GrpcConfig> grpc;
+  std::optional<MembershipConfig> membership;
   std::vector<Setting> settings;  // effective settings, in the order in which they were read
 };
 
 // Parses the operator file. Decision settings and the seed are taken from `platform`; `file` is the name used
 // in errors. Throws ConfigError, which names file, line, column and key; unknown keys are errors.
-Operator readOperator(std::string_view hcl, const std::string& file, const Config& platform);
+OperatorConfig readOperator(std::string_view hcl, const std::string& file, const PlatformConfig& platform);
 
 // Returns the configuration used in place of the platform's where there is none: the default rules of docs/.
-Config standalone(std::uint64_t seed);
+PlatformConfig standalone(std::uint64_t seed);
 
 }  // namespace topazweir::config
--- a/src/dissemination/children.cpp
+++ b/src/dissemination/children.cpp
@@ -68,8 +68,9 @@
   for (auto& [name, child] : children_) child.counts.reportedAt += duration;
 }
 
-InForce sum(const Position& own, const Children& children, const std::map<std::string, Counts>& others) {
-  InForce out;
+FleetProgress sum(const Position& own, const Children& children,
+                  const std::map<std::string, Counts>& others) {
+  FleetProgress out;
   out.members = 1;
   out.level = 1;
   out.low = own;
--- a/src/dissemination/children.hpp
+++ b/src/dissemination/children.hpp
@@ -63,6 +63,6 @@
 };
 
 // Aggregates this member at position `own`, its children and the other members that report to it (`others`).
-InForce sum(const Position& own, const Children& children, const std::map<std::string, Counts>& others);
+FleetProgress sum(const Position& own, const Children& children, const std::map<std::string, Counts>& others);
 
 }  // namespace topazweir::dissemination
--- a/src/dissemination/disseminator.cpp
+++ b/src/dissemination/disseminator.cpp
@@ -64,7 +64,7 @@
         replica(
             {settings.tailChanges, settings.tailBytes, std::max<std::uint64_t>(settings.snapshotEvery, 1)}),
         budget(settings.bytesPerSecond, settings.burstBytes),
-        parents(settings.silentAfter, settings.staleAfter, settings.seed) {}
+        parents(settings.heartbeatTimeout, settings.staleAfter, settings.seed) {}
 
   // ---- Output.
   bool send(const std::string& to, std::string bytes, Urgency urgency, Nanos now) {
@@ -441,7 +441,7 @@
     }
     std::vector<agreement::Command> commands;
     for (auto i = static_cast<std::size_t>(number - c.from); i < c.commands.size(); ++i) {
-      auto command = agreement::readCommand(c.commands[i]);
+      auto command = agreement::deserializeCommand(c.commands[i]);
       if (!command) {
         ++counters.broken;
         return false;
@@ -512,7 +512,7 @@
       ++counters.broken;
       return requestMissing(now);
     }
-    ++counters.snapshotsTaken;
+    ++counters.snapshotsInstalled;
     onReplaced(now);
   }
   // The register was replaced as a whole, by a snapshot or by a voter's register.
@@ -568,7 +568,7 @@
     if (!settings.votes) parents.setTree(tree, now);
     if (fetch) fetch->addSources(tree.sources);
   }
-  InForce inForce() const {
+  FleetProgress inForce() const {
     static const std::map<std::string, Counts> kNone;
     return sum(replica.position(), children, settings.votes && leader == settings.self ? voterCounts : kNone);
   }
@@ -743,7 +743,7 @@
 Nanos Disseminator::age(Nanos now) const { return impl_->everConfirmed ? impl_->age(now) : -1; }
 const std::string& Disseminator::parent() const { return impl_->parents.parent(); }
 std::size_t Disseminator::children() const { return impl_->children.all().size(); }
-InForce Disseminator::inForce() const { return impl_->inForce(); }
+FleetProgress Disseminator::inForce() const { return impl_->inForce(); }
 const Counters& Disseminator::counters() const {
   impl_->counters.parentsLeft = impl_->parents.parentsLeft();
   return impl_->counters;
--- a/src/dissemination/disseminator.hpp
+++ b/src/dissemination/disseminator.hpp
@@ -36,8 +36,8 @@
   // Planned children of a voter or relay; at most twice as many are admitted. The heartbeats to them, and all
   // changes that they missed in an hour of partition, have to fit into the byte budget.
   std::size_t fanOut = 5;
-  Nanos beatEvery = 250'000'000;     // between two heartbeats of a parent
-  Nanos silentAfter = 800'000'000;   // heartbeat timeout, after which a child changes to the next parent
+  Nanos beatEvery = 250'000'000;         // between two heartbeats of a parent
+  Nanos heartbeatTimeout = 800'000'000;  // heartbeat timeout, after which a child changes to the next parent
   Nanos staleAfter = 2'000'000'000;  // age of the state from which a parent with fresher state is looked for
   std::size_t tailChanges = 4096;    // log entries kept for members that are behind
   std::size_t tailBytes = 1024 * 1024;  // bytes of log entries kept for members that are behind
@@ -72,7 +72,7 @@
 };
 
 // Progress of this member's subtree, from the counts reported up the tree. At the leader: of the whole fleet.
-struct InForce {
+struct FleetProgress {
   std::uint64_t members = 0;     // counted, this member included
   Position low;                  // low watermark: the position that all of them have reached
   std::uint64_t level = 0;       // members at this member's own position
@@ -82,7 +82,7 @@
 
 struct Counters {
   std::uint64_t changesApplied = 0;
-  std::uint64_t snapshotsTaken = 0;               // snapshots installed
+  std::uint64_t snapshotsInstalled = 0;           // snapshots installed
   std::uint64_t sent = 0, sentBytes = 0;          // messages; bytes include frameBytes
   std::uint64_t received = 0, receivedBytes = 0;  // messages; bytes include frameBytes
   std::uint64_t deferred = 0;                     // messages that were held back by the budget
@@ -125,7 +125,7 @@
   Nanos age(Nanos now) const;
   const std::string& parent() const;  // empty: none (this member is a voter, or no parent is available)
   std::size_t children() const;
-  InForce inForce() const;
+  FleetProgress inForce() const;
   const Counters& counters() const;
 
  private:
--- a/src/dissemination/replica.cpp
+++ b/src/dissemination/replica.cpp
@@ -58,14 +58,14 @@
       if (before.back()) digest_ -= dissemination::hashOf(command.key, *before.back());
       if (const auto* is = held_.find(command.key)) digest_ += dissemination::hashOf(command.key, *is);
     }
-    changes.push_back({agreement::writeCommand(command), digest_, 0});
+    changes.push_back({agreement::serializeCommand(command), digest_, 0});
     if (held_.commands() % limits_.snapshotEvery == 0) {
       updatePosition();
       newSnapshot = makeSnapshot();
     }
   }
   if (digest && digest_ != *digest) {
-    for (std::size_t i = commands.size(); i-- > 0;) held_.takeBack(commands[i].key, std::move(before[i]));
+    for (std::size_t i = commands.size(); i-- > 0;) held_.revert(commands[i].key, std::move(before[i]));
     digest_ = digestBefore;
     updatePosition();
     return false;
--- a/src/features/backend.cpp
+++ b/src/features/backend.cpp
@@ -23,7 +23,7 @@
   Backend& backend;
   ServerId server;
   std::shared_ptr<net::Connection> connection;
-  http::Parser parser{http::Side::response, kPageLimitBytes};
+  http::Parser parser{http::MessageKind::response, kPageLimitBytes};
   std::optional<broker::AttemptId> attempt;
   net::Loop::TimerId idleTimer{};
   net::Loop::TimerId stallTimer{};
@@ -51,8 +51,9 @@
   for (auto& [id, attempt] : attempts_) loop_.cancel(attempt.timeout);
 }
 
-ListNews Backend::listUpdate(const std::vector<config::BranchGroup>& groups, ListNews::Scope scope) {
-  ListNews update;
+ServerListUpdate Backend::listUpdate(const std::vector<config::BranchGroup>& groups,
+                                     ServerListUpdate::Scope scope) {
+  ServerListUpdate update;
   update.scope = scope;
   for (std::size_t g = 0; g < groups.size(); ++g) {
     for (const auto& server : groups[g].servers) {
@@ -142,15 +143,16 @@
   auto& input = pooled.connection->input();
   const auto progress = pooled.parser.parse(input);
   loop_.cancel(pooled.stallTimer);
-  if (progress == http::Parser::Progress::fault) return pooled.connection->end(net::ConnectionEnd::badPeer);
+  if (progress == http::Parser::Progress::fault)
+    return pooled.connection->end(net::ConnectionEnd::protocolError);
   if (progress == http::Parser::Progress::more) {
     // A response that stalls fails the attempt early enough to leave time for a retry.
     pooled.stallTimer =
-        loop_.after(kStallTimeout, [&pooled] { pooled.connection->end(net::ConnectionEnd::badPeer); });
+        loop_.after(kStallTimeout, [&pooled] { pooled.connection->end(net::ConnectionEnd::protocolError); });
     return pooled.connection->resume();
   }
   // A response without a request.
-  if (!pooled.attempt) return pooled.connection->end(net::ConnectionEnd::badPeer);
+  if (!pooled.attempt) return pooled.connection->end(net::ConnectionEnd::protocolError);
   const auto head = pooled.parser.head(input);
   const int status = head.status;
   const bool keep = head.keepAlive;
@@ -215,7 +217,7 @@
   if (!pooled.attempt) return;
   const auto id = *pooled.attempt;
   // The body may be delimited by the end of the connection.
-  if (end == net::ConnectionEnd::peerClosed && pooled.parser.finishAtEnd()) {
+  if (end == net::ConnectionEnd::peerClosed && pooled.parser.finishAtEof()) {
     const int status = pooled.parser.head(pooled.connection->input()).status;
     return onResponse(id, status, pooled.parser.body(pooled.connection->input()));
   }
--- a/src/features/backend.hpp
+++ b/src/features/backend.hpp
@@ -31,7 +31,7 @@
   void cancel(const broker::AttemptId& id) override;
   // Registers the servers and returns the server list update for the broker. A group and an address always
   // get the same server id.
-  ListNews listUpdate(const std::vector<config::BranchGroup>& groups, ListNews::Scope scope);
+  ServerListUpdate listUpdate(const std::vector<config::BranchGroup>& groups, ServerListUpdate::Scope scope);
 
  private:
   struct PooledConnection;
--- a/src/features/side.hpp
+++ b/src/features/features_service.hpp
@@ -23,7 +23,7 @@
   // Replaces the servers of the groups, which must be the same groups in the same order. Draining and removed
   // servers get no new attempts from now on.
   void updateServers(const std::vector<config::BranchGroup>& groups) {
-    broker_.told(backend_.listUpdate(groups, ListNews::Scope::full));
+    broker_.updateServers(backend_.listUpdate(groups, ServerListUpdate::Scope::full));
   }
   const config::FeaturesConfig& config() const { return config_; }
   const broker::Broker& broker() const { return broker_; }
--- a/src/features/front.cpp
+++ b/src/features/front.cpp
@@ -7,11 +7,11 @@
 #include <algorithm>
 
 #include "features/geojson.hpp"
-#include "telemetry/json_text.hpp"
+#include "telemetry/json_string.hpp"
 
 namespace topazweir::features {
 
-using telemetry::jsonText;
+using telemetry::quoteJson;
 
 namespace {
 
@@ -24,7 +24,7 @@
   return {
       status,
       kJson,
-      R"({"code":)" + jsonText(std::to_string(status)) + R"(,"description":)" + jsonText(description) + "}",
+      R"({"code":)" + quoteJson(std::to_string(status)) + R"(,"description":)" + quoteJson(description) + "}",
       {}};
 }
 
@@ -50,7 +50,7 @@
                std::max<std::size_t>(8, config.maxSockets / 2)},
               *this) {}
 
-void Front::onRequest(http::Server::ExchangeNo exchange, const http::Head& head, std::string_view) {
+void Front::onRequest(http::Server::ExchangeId exchange, const http::Head& head, std::string_view) {
   const auto queryStart = std::min(head.target.find('?'), head.target.size());
   const auto path = head.target.substr(0, queryStart);
   const auto query = head.target.substr(std::min(queryStart + 1, head.target.size()));
@@ -111,7 +111,7 @@
   broker_.begin(no);
 }
 
-void Front::onGone(http::Server::ExchangeNo exchange) {
+void Front::onGone(http::Server::ExchangeId exchange) {
   const auto at = requestNos_.find(exchange);
   if (at == requestNos_.end()) return;
   const auto request = at->second;
@@ -149,7 +149,7 @@
     const auto result = std::find_if(results.begin(), results.end(),
                                      [&](const auto& r) { return r.shard == static_cast<int>(g); });
     if (result == results.end()) {
-      missing.append(missing.empty() ? "" : ",").append(jsonText(config_.groups[g].name));
+      missing.append(missing.empty() ? "" : ",").append(quoteJson(config_.groups[g].name));
     } else {
       for (auto& feature : split(result->value)) features.push_back(std::move(feature));
     }
@@ -169,7 +169,7 @@
   response.contentType = kGeoJson;
   response.fields.emplace_back("Content-Crs", "<http://www.opengis.net/def/crs/OGC/1.3/CRS84>");
   auto& body = response.body;
-  body = R"({"type":"FeatureCollection","timeStamp":)" + jsonText(stamp);
+  body = R"({"type":"FeatureCollection","timeStamp":)" + quoteJson(stamp);
   // The number of matches is known only if every group has answered.
   if (answer.whole) body += R"(,"numberMatched":)" + std::to_string(features.size());
   body += R"(,"numberReturned":)" + std::to_string(to - from);
@@ -190,8 +190,8 @@
 
 std::string Front::collectionJson(const config::FeatureCollection& c, const std::string& baseUrl) const {
   const std::string path = baseUrl + "/collections/" + c.id;
-  return R"({"id":)" + jsonText(c.id) + R"(,"title":)" + jsonText(c.title) + R"(,"description":)" +
-         jsonText(c.description) +
+  return R"({"id":)" + quoteJson(c.id) + R"(,"title":)" + quoteJson(c.title) + R"(,"description":)" +
+         quoteJson(c.description) +
          R"(,"itemType":"feature","crs":["http://www.opengis.net/def/crs/OGC/1.3/CRS84"])" + R"(,"links":)" +
          formatLinks({{path, "self", kJson, c.title}, {path + "/items", "items", kGeoJson, "the features"}}) +
          "}";
@@ -200,9 +200,9 @@
 std::string Front::apiJson() const {
   std::string paths = R"("/":{"get":{"responses":{"200":{"description":"landing page"}}}})";
   const auto add = [&](const std::string& path, std::string_view what, std::string_view parameters) {
-    paths.append(",").append(jsonText(path));
+    paths.append(",").append(quoteJson(path));
     paths += R"(:{"get":{"parameters":[)" + std::string(parameters) +
-             R"(],"responses":{"200":{"description":)" + jsonText(what) + "}}}}";
+             R"(],"responses":{"200":{"description":)" + quoteJson(what) + "}}}}";
   };
   add("/conformance", "conformance classes", "");
   add("/collections", "the collections", "");
@@ -217,7 +217,7 @@
     add(path + "/items/{featureId}", "a feature",
         R"({"name":"featureId","in":"path","required":true,"schema":{"type":"string"}})");
   }
-  return R"({"openapi":"3.0.3","info":{"title":)" + jsonText(config_.title) +
+  return R"({"openapi":"3.0.3","info":{"title":)" + quoteJson(config_.title) +
          R"(,"version":"1.0"},"paths":{)" + paths + "}}";
 }
 
@@ -227,7 +227,7 @@
   if (path == "/")
     return {200,
             kJson,
-            R"({"title":)" + jsonText(config_.title) +
+            R"({"title":)" + quoteJson(config_.title) +
                 R"(,"description":"Features of all branch groups","links":)" +
                 formatLinks({{baseUrl + "/", "self", kJson, "this document"},
                              {baseUrl + "/api", "service-desc", kApi, "the API definition"},
--- a/src/features/front.hpp
+++ b/src/features/front.hpp
@@ -20,14 +20,14 @@
 
  private:
   struct OpenRequest {
-    http::Server::ExchangeNo exchange = 0;
+    http::Server::ExchangeId exchange = 0;
     std::string collection;
     std::optional<ItemsQuery> items;  // none: the request is for a single feature
     std::string baseUrl;              // prefix of links
   };
 
-  void onRequest(http::Server::ExchangeNo exchange, const http::Head& head, std::string_view body) override;
-  void onGone(http::Server::ExchangeNo exchange) override;
+  void onRequest(http::Server::ExchangeId exchange, const http::Head& head, std::string_view body) override;
+  void onGone(http::Server::ExchangeId exchange) override;
   void finish(broker::RequestNo request, broker::FinalAnswer answer) override;
 
   // A resource that needs no features: landing page, API definition, conformance, collections.
@@ -43,7 +43,7 @@
   net::Loop& loop_;
   broker::Broker& broker_;
   std::map<broker::RequestNo, OpenRequest> openRequests_;
-  std::map<http::Server::ExchangeNo, broker::RequestNo> requestNos_;  // of the open requests
+  std::map<http::Server::ExchangeId, broker::RequestNo> requestNos_;  // of the open requests
   std::uint64_t lastId_ = 0;
   http::Server server_;
 };
--- a/src/features/geojson.cpp
+++ b/src/features/geojson.cpp
@@ -3,14 +3,14 @@
 
 #include <simdjson.h>
 
-#include "telemetry/json_text.hpp"
+#include "telemetry/json_string.hpp"
 
 namespace topazweir::features {
 
 namespace {
 
 using simdjson::SUCCESS;
-using telemetry::jsonText;
+using telemetry::quoteJson;
 
 bool typeIs(const simdjson::dom::element& value, std::string_view type) {
   std::string_view found;
@@ -88,9 +88,9 @@
   std::string out = "[";
   for (const auto& link : links) {
     if (out.size() > 1) out += ',';
-    out += R"({"href":)" + jsonText(link.href) + R"(,"rel":)" + jsonText(link.rel) + R"(,"type":)" +
-           jsonText(link.type);
-    if (!link.title.empty()) out += R"(,"title":)" + jsonText(link.title);
+    out += R"({"href":)" + quoteJson(link.href) + R"(,"rel":)" + quoteJson(link.rel) + R"(,"type":)" +
+           quoteJson(link.type);
+    if (!link.title.empty()) out += R"(,"title":)" + quoteJson(link.title);
     out += '}';
   }
   return out += ']';
--- a/src/features/items_query.cpp
+++ b/src/features/items_query.cpp
@@ -104,7 +104,7 @@
     } else if (*name == "limit") {
       const auto limit = parseUnsigned(*value);
       if (!limit || *limit == 0) return "limit is not a whole number above 0";
-      query.limit = std::min(*limit, ItemsQuery::kMostLimit);
+      query.limit = std::min(*limit, ItemsQuery::kMaxLimit);
     } else if (*name == "offset") {
       const auto offset = parseUnsigned(*value);
       if (!offset || *offset > ItemsQuery::kMaxOffset) return "offset is out of range";
--- a/src/features/items_query.hpp
+++ b/src/features/items_query.hpp
@@ -10,7 +10,7 @@
 
 struct ItemsQuery {
   static constexpr std::size_t kDefaultLimit = 10;
-  static constexpr std::size_t kMostLimit = 10'000;  // a higher limit is lowered to this
+  static constexpr std::size_t kMaxLimit = 10'000;  // a higher limit is lowered to this
   static constexpr std::size_t kMaxOffset = 10'000'000;
 
   std::string bbox;      // as given by the client, validated; empty: not given
--- a/src/fleet/codec.cpp
+++ b/src/fleet/codec.cpp
@@ -112,25 +112,25 @@
   return {buffer.data(), buffer.size()};
 }
 
-std::variant<Message, Unread> decode(std::string_view bytes, std::string_view fleet) {
+std::variant<Message, DecodeError> decode(std::string_view bytes, std::string_view fleet) {
   try {
     std::size_t end = 0;
     const msgpack::unpack_limit limit(std::max<std::size_t>(kMaxFields, kMaxRecords), 0,
                                       kMaxStreamMessageBytes, 0, 0, kMaxDepth);
     const auto handle = msgpack::unpack(bytes.data(), bytes.size(), end, nullptr, nullptr, limit);
-    if (end != bytes.size()) return Unread::broken;
+    if (end != bytes.size()) return DecodeError::broken;
     // Only the first three elements are the same in all format versions.
     Fields fields(handle.get(), 3);
-    if (fields.text() != kMagic) return Unread::foreign;
+    if (fields.text() != kMagic) return DecodeError::foreign;
     const bool sameVersion = fields.next().as<int>() == kFormatVersion;
-    if (fields.text() != fleet) return Unread::foreign;
-    if (!sameVersion) return Unread::otherVersion;
-    if (handle.get().via.array.size < kMessageFields) return Unread::broken;
+    if (fields.text() != fleet) return DecodeError::foreign;
+    if (!sameVersion) return DecodeError::otherVersion;
+    if (handle.get().via.array.size < kMessageFields) return DecodeError::broken;
     auto message = readMessage(fields);
     message.size = bytes.size();
     return message;
   } catch (const std::exception&) {  // the library throws on truncated or too large input and on wrong types
-    return Unread::broken;
+    return DecodeError::broken;
   }
 }
 
--- a/src/fleet/codec.hpp
+++ b/src/fleet/codec.hpp
@@ -14,7 +14,7 @@
 namespace topazweir::fleet {
 
 // Why a message was not decoded: malformed, of another fleet or program, of another format version.
-enum class Unread { broken, foreign, otherVersion };
+enum class DecodeError { broken, foreign, otherVersion };
 
 inline constexpr int kFormatVersion = 1;
 inline constexpr std::size_t kMaxRecords = 8192;                        // in one message
@@ -23,7 +23,7 @@
 std::string encode(const membership::Message& message, std::string_view fleet);
 // Never throws. Strings over membership::kMostText bytes, unknown states and kinds and numbers out of range
 // count as malformed.
-std::variant<membership::Message, Unread> decode(std::string_view bytes, std::string_view fleet);
+std::variant<membership::Message, DecodeError> decode(std::string_view bytes, std::string_view fleet);
 
 // A message as sent by stream: its length in bytes as a 4-byte big-endian number, then the message.
 std::string framed(std::string_view message);
--- a/src/fleet/side.cpp
+++ b/src/fleet/fleet_service.cpp
@@ -1,4 +1,4 @@
-#include "fleet/side.hpp"
+#include "fleet/fleet_service.hpp"
 
 #include <Poco/Exception.h>
 #include <fmt/format.h>
@@ -34,17 +34,17 @@
 constexpr Nanos kFreshPeriods = 2;
 constexpr int kSettleSyncs = 2;  // number of full exchanges after which the members' views agree
 
-membership::Settings detectorSettings(const config::Membership& config, std::uint64_t seed) {
+membership::Settings detectorSettings(const config::MembershipConfig& config, std::uint64_t seed) {
   membership::Settings out;
   out.period = config.period;
-  out.answerTime = config.answerTime;
-  out.syncEvery = config.syncEvery;
-  out.forgetAfter = config.forgetAfter;
+  out.probeTimeout = config.probeTimeout;
+  out.syncInterval = config.syncInterval;
+  out.forgetTimeout = config.forgetTimeout;
   out.seed = seed;
   return out;
 }
 
-dissemination::Settings disseminationSettings(const config::Membership& config, std::uint64_t seed) {
+dissemination::Settings disseminationSettings(const config::MembershipConfig& config, std::uint64_t seed) {
   dissemination::Settings out;
   out.self = config.name;
   out.zone = config.zone;
@@ -53,9 +53,9 @@
   out.relays = config.relays;
   out.fanOut = config.fanOut;
   out.beatEvery = config.period / kHeartbeatsPerPeriod;
-  out.silentAfter = kHeartbeatTimeoutFifths * config.period / 5;
+  out.heartbeatTimeout = kHeartbeatTimeoutFifths * config.period / 5;
   out.staleAfter = kFreshPeriods * config.period;
-  out.bytesPerSecond = static_cast<double>(config.changeBytesPerS);
+  out.bytesPerSecond = static_cast<double>(config.changeBytesPerSecond);
   // MessagePack needs up to two more bytes for the length of a payload that is not empty.
   constexpr std::size_t kPayloadLengthBytes = 2;
   out.frameBytes =
@@ -66,12 +66,12 @@
 }
 
 bool disseminates(const membership::Record& record) {
-  return std::string_view(record.version).ends_with(kDisseminates);
+  return std::string_view(record.version).ends_with(kDisseminationSuffix);
 }
 
 // Randomised, so that members that lose their connection to the tree at the same time do not all ask the
 // voters at once.
-Nanos initialFollowDelay(const config::Membership& config, std::uint64_t seed) {
+Nanos initialFollowDelay(const config::MembershipConfig& config, std::uint64_t seed) {
   const Nanos interval = kFollowPeriods * config.period;
   std::mt19937_64 random(seed);
   return std::uniform_int_distribution<Nanos>(interval / 2, interval)(random);
@@ -92,16 +92,18 @@
 
 }  // namespace
 
-Side::Side(net::Loop& loop, broker::Log& log, const config::Membership& config, const std::string& version,
-           std::uint64_t seed, membership::Share initialShare, Host& host)
+FleetService::FleetService(net::Loop& loop, broker::Log& log, const config::MembershipConfig& config,
+                           const std::string& version, std::uint64_t seed, membership::Share initialShare,
+                           Host& host)
     : loop_(loop),
       log_(log),
       config_(config),
       host_(host),
-      detector_(detectorSettings(config, seed),
-                membership::Record{config.name, config.advertise, config.zone,
-                                   config.voters.empty() ? version : version + std::string(kDisseminates)}),
-      sharers_(kSettleSyncs * config.syncEvery, initialShare.count),
+      detector_(
+          detectorSettings(config, seed),
+          membership::Record{config.name, config.advertise, config.zone,
+                             config.voters.empty() ? version : version + std::string(kDisseminationSuffix)}),
+      sharers_(kSettleSyncs * config.syncInterval, initialShare.count),
       share_(initialShare),
       seed_(seed) {
   if (!config_.voters.empty())
@@ -111,9 +113,9 @@
                       initialFollowDelay(config, seed));
 }
 
-Side::~Side() { stop(); }
+FleetService::~FleetService() { stop(); }
 
-void Side::start() {
+void FleetService::start() {
   if (!openSockets()) {
     if (!host_.accompanied())
       throw config::ConfigError("key membership.listen: cannot listen on " + config_.listen);
@@ -125,7 +127,7 @@
 }
 
 // During an upgrade the other process of this aggregator may still hold the address.
-void Side::retryStart() {
+void FleetService::retryStart() {
   try {
     start();
   } catch (const config::ConfigError& error) {
@@ -135,7 +137,7 @@
 }
 
 // Only once this process holds the address: two processes of one voter must not both vote and log.
-void Side::openRaftGroup() {
+void FleetService::openRaftGroup() {
   if (!config_.votes()) return;
   try {
     raftGroup_.emplace(config_, seed_, loop_.now());
@@ -144,7 +146,7 @@
   }
 }
 
-bool Side::openSockets() {
+bool FleetService::openSockets() {
   const Poco::Net::SocketAddress address(config_.listen);
   try {
     streams_.emplace(
@@ -158,7 +160,7 @@
   }
 }
 
-void Side::joinFleet() {
+void FleetService::joinFleet() {
   log_.line("membership.started",
             fmt::format("{} fleet={} listen={} advertise={} voters={}", config_.name, config_.fleet,
                         config_.listen, config_.advertise, config_.voters.size()));
@@ -171,7 +173,7 @@
   tick();
 }
 
-void Side::tick() {
+void FleetService::tick() {
   const auto next = std::clamp<Nanos>(config_.period / kTicksPerPeriod, 1, kMaxTickNs);
   timer_ = loop_.after(next, [this] { tick(); });
   detector_.busy(loadMeter_.now(host_.load(), loop_.now()));
@@ -184,12 +186,13 @@
   updateMembershipState();
 }
 
-void Side::updateMembershipState() {
+void FleetService::updateMembershipState() {
   const auto standing = membership::standing(detector_, config_.voterNames(), leaderKnown());
   if (standing != membershipState_)
     log_.line("membership.standing",
-              fmt::format("{} was {} alive={}", membership::kStandingNames[static_cast<int>(standing)],
-                          membership::kStandingNames[static_cast<int>(membershipState_)], detector_.alive()));
+              fmt::format("{} was {} alive={}", membership::kMembershipStateNames[static_cast<int>(standing)],
+                          membership::kMembershipStateNames[static_cast<int>(membershipState_)],
+                          detector_.alive()));
   membershipState_ = standing;
   const auto share = sharers_.now(detector_, loop_.now());
   if (share == share_) return;
@@ -197,12 +200,12 @@
   host_.shares(share);
 }
 
-void Side::leave() {
+void FleetService::leave() {
   if (datagrams_) applyStep(detector_.leave(loop_.now()));
   stop();
 }
 
-void Side::stop() {
+void FleetService::stop() {
   loop_.cancel(timer_);
   // First: from the moment the address is free, the next process takes part as this voter.
   raftGroup_.reset();
@@ -210,24 +213,24 @@
   streams_.reset();
 }
 
-std::optional<membership::Message> Side::decodeMessage(std::string_view bytes) {
+std::optional<membership::Message> FleetService::decodeMessage(std::string_view bytes) {
   auto decoded = decode(bytes, config_.fleet);
   if (auto* message = std::get_if<membership::Message>(&decoded)) return std::move(*message);
-  switch (std::get<Unread>(decoded)) {
-    case Unread::broken:
+  switch (std::get<DecodeError>(decoded)) {
+    case DecodeError::broken:
       ++counters_.broken;
       break;
-    case Unread::foreign:
+    case DecodeError::foreign:
       ++counters_.foreign;
       break;
-    case Unread::otherVersion:
+    case DecodeError::otherVersion:
       ++counters_.otherVersion;
       break;
   }
   return std::nullopt;
 }
 
-void Side::onDatagram(std::string_view bytes) {
+void FleetService::onDatagram(std::string_view bytes) {
   ++counters_.received;
   counters_.receivedBytes += bytes.size();
   const auto message = decodeMessage(bytes);
@@ -235,10 +238,10 @@
   if (message && message->kind == membership::Kind::dissemination) return onDisseminationMessage(*message);
   // Requests that belong on a stream are ignored: their replies are many times larger, and a datagram's
   // source address may be forged (amplification).
-  if (message && !membership::byStream(message->kind)) applyStep(detector_.received(*message, loop_.now()));
+  if (message && !membership::usesStream(message->kind)) applyStep(detector_.received(*message, loop_.now()));
 }
 
-std::string Side::onStreamMessage(std::string_view bytes) {
+std::string FleetService::onStreamMessage(std::string_view bytes) {
   std::string reply;
   const auto message = decodeMessage(bytes);
   if (!message) return reply;
@@ -257,12 +260,12 @@
     default:
       break;
   }
-  if (membership::byStream(message->kind)) applyStep(detector_.received(*message, loop_.now()), &reply);
+  if (membership::usesStream(message->kind)) applyStep(detector_.received(*message, loop_.now()), &reply);
   return reply;
 }
 
 // `reply`: set to the reply to a message received by stream, to be sent back on the same connection.
-void Side::applyStep(membership::Step step, std::string* reply) {
+void FleetService::applyStep(membership::Step step, std::string* reply) {
   viewChanged_ = viewChanged_ || !step.changes.empty();
   for (const auto& change : step.changes) {
     const auto& record = change.record;
@@ -284,20 +287,20 @@
   }
 }
 
-void Side::send(const membership::Out& out) {
+void FleetService::send(const membership::Out& out) {
   if (!datagrams_ || !config::isAddress(out.to)) return;  // addresses are announced by other members
   const Poco::Net::SocketAddress to(out.to);
   const auto bytes = encode(out.message, config_.fleet);
-  if (membership::byStream(out.message.kind)) return streams_->ask(to, bytes);
+  if (membership::usesStream(out.message.kind)) return streams_->ask(to, bytes);
   if (bytes.size() > kMaxDatagramBytes) return streams_->tell(to, bytes);
   ++counters_.sent;
   counters_.sentBytes += bytes.size();
   if (!datagrams_->send(bytes, to)) ++counters_.unsent;
 }
 
-void Side::onRaftMessage(const membership::Message& message) {
+void FleetService::onRaftMessage(const membership::Message& message) {
   if (!raftGroup_) return;
-  std::vector<Council::Out> out;
+  std::vector<RaftGroup::Out> out;
   if (!raftGroup_->received(message.sender, message.payload, loop_.now(), out)) ++counters_.votersDiffer;
   sendRaftMessages(out);
   forwardApplied();
@@ -305,14 +308,14 @@
 }
 
 // Passes commands that this voter has applied on to the dissemination without waiting for the next tick.
-void Side::forwardApplied() {
+void FleetService::forwardApplied() {
   if (!raftGroup_ || !disseminator_ || raftGroup_->held().commands() == disseminator_->position().number)
     return;
   sendDissemination(disseminator_->agreed(raftGroup_->held(), raftGroup_->takeApplied(), raftGroup_->leader(),
                                           loop_.now()));
 }
 
-void Side::tickDissemination() {
+void FleetService::tickDissemination() {
   if (!disseminator_) return;
   const auto now = loop_.now();
   if (std::exchange(viewChanged_, false)) updateDisseminationView();
@@ -322,7 +325,7 @@
   sendDissemination(disseminator_->tick(now));
 }
 
-void Side::updateDisseminationView() {
+void FleetService::updateDisseminationView() {
   std::vector<dissemination::Peer> view;
   for (const auto& [name, member] : detector_.view())
     view.push_back({name, member.record.zone,
@@ -330,7 +333,7 @@
   disseminator_->sees(std::move(view));
 }
 
-void Side::onDisseminationMessage(const membership::Message& message) {
+void FleetService::onDisseminationMessage(const membership::Message& message) {
   if (!disseminator_) return;
   const bool known = detector_.view().contains(message.sender) ||
                      std::any_of(config_.voters.begin(), config_.voters.end(),
@@ -343,7 +346,7 @@
 
 // Messages leave out the sender's address, which the receiver knows. Members of versions without
 // dissemination get none.
-void Side::sendDissemination(const std::vector<dissemination::Out>& messages) {
+void FleetService::sendDissemination(const std::vector<dissemination::Out>& messages) {
   for (const auto& out : messages) {
     const auto at = detector_.view().find(out.to);
     if (at != detector_.view().end() && !disseminates(at->second.record)) continue;
@@ -353,8 +356,8 @@
   }
 }
 
-bool Side::propose(const agreement::Command& command) {
-  std::vector<Council::Out> out;
+bool FleetService::propose(const agreement::Command& command) {
+  std::vector<RaftGroup::Out> out;
   if (!raftGroup_ || !raftGroup_->propose(command, loop_.now(), out)) return false;
   sendRaftMessages(out);
   forwardApplied();
@@ -365,7 +368,7 @@
 // The number of this voter's commands that the sender of a request already has. If it has an older generation
 // of the register it has none of them, since the voters have restarted with empty state; if it has a newer
 // one, there is nothing to send. Members of versions without generations send an empty payload.
-std::uint64_t Side::commandsKnownTo(const membership::Message& request) const {
+std::uint64_t FleetService::commandsKnownTo(const membership::Message& request) const {
   std::uint64_t generation = 0;
   const auto& text = request.payload;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), generation);
@@ -375,18 +378,18 @@
   return generation < ownGeneration ? 0 : UINT64_MAX;
 }
 
-std::string Side::replyToFollower(const membership::Message& request) {
+std::string FleetService::replyToFollower(const membership::Message& request) {
   if (!raftGroup_) return {};
   membership::Message reply{.kind = membership::Kind::followReply, .sender = config_.name};
   reply.from = config_.advertise;
-  reply.payload = agreement::answerToFollower(raftGroup_->held(), !raftGroup_->leader().empty(),
-                                              commandsKnownTo(request));
+  reply.payload = agreement::encodeFollowerReply(raftGroup_->held(), !raftGroup_->leader().empty(),
+                                                 commandsKnownTo(request));
   return encode(reply, config_.fleet);
 }
 
 // Requests the register from a voter when that is due, and only while the dissemination does not reach this
 // member.
-void Side::pollVoters() {
+void FleetService::pollVoters() {
   const auto now = loop_.now();
   if (disseminator_) {
     const auto age = disseminator_->age(now);
@@ -403,16 +406,16 @@
   send({voterAddress(*voter), std::move(request)});
 }
 
-void Side::onFollowerReply(const membership::Message& reply) {
+void FleetService::onFollowerReply(const membership::Message& reply) {
   if (!follower_) return;
   if (!follower_->take(reply.payload, loop_.now())) return void(++counters_.broken);
   if (!disseminator_ || dissemination::positionOf(follower_->held()) <= disseminator_->position()) return;
-  ++counters_.registerTaken;
+  ++counters_.registersAdopted;
   sendDissemination(disseminator_->adopt(follower_->held(), loop_.now()));
 }
 
 // The address that the voter announces, or the configured one while it is not known as a member.
-std::string Side::voterAddress(const std::string& voter) const {
+std::string FleetService::voterAddress(const std::string& voter) const {
   if (const auto at = detector_.view().find(voter); at != detector_.view().end())
     return at->second.record.address;
   for (const auto& configured : config_.voters)
@@ -421,18 +424,18 @@
 }
 
 // If both the dissemination and the follower hold a register, the newer one.
-const agreement::Register& Side::currentRegister() const {
+const agreement::Register& FleetService::currentRegister() const {
   if (raftGroup_) return raftGroup_->held();
   const bool disseminated =
       disseminator_ && disseminator_->position() >= dissemination::positionOf(follower_->held());
   return disseminated ? disseminator_->held() : follower_->held();
 }
 
-dissemination::Position Side::position() const {
+dissemination::Position FleetService::position() const {
   return holdsRegister() ? dissemination::positionOf(currentRegister()) : dissemination::Position{};
 }
 
-Nanos Side::registerAge() const {
+Nanos FleetService::registerAge() const {
   const auto now = loop_.now();
   const Nanos disseminatedAge = disseminator_ ? disseminator_->age(now) : -1;
   const Nanos polledAge = follower_ ? follower_->age(now) : -1;
@@ -441,13 +444,13 @@
 }
 
 // Also true if no voter has ever confirmed a leader (negative age): the voters may keep no register.
-bool Side::leaderKnown() const {
+bool FleetService::leaderKnown() const {
   return raftGroup_ ? !raftGroup_->leader().empty() : registerAge() <= kLeaderKnownPeriods * config_.period;
 }
 
 // send() uses datagrams for small messages, which Raft repeats if they are lost, and streams for entries and
 // snapshots that do not fit into one.
-void Side::sendRaftMessages(const std::vector<Council::Out>& messages) {
+void FleetService::sendRaftMessages(const std::vector<RaftGroup::Out>& messages) {
   for (const auto& out : messages) {
     membership::Message message{.kind = membership::Kind::agreement, .sender = config_.name};
     message.from = config_.advertise;
@@ -456,21 +459,21 @@
   }
 }
 
-void Side::logRegisterChanges() {
+void FleetService::logRegisterChanges() {
   if (!holdsRegister()) return;
   if (raftGroup_ && storeWorked_ && !raftGroup_->works()) {
     storeWorked_ = false;
     log_.line("membership.state_failed",
               config_.state + ": cannot be written; this voter no longer takes part in the Raft group");
   }
-  const auto* role = currentRegister().find(Council::kCoordinator);
+  const auto* role = currentRegister().find(RaftGroup::kCoordinatorKey);
   auto coordinator = role ? fmt::format("{} fence={}", role->value, role->fence) : std::string();
   if (coordinator == loggedCoordinator_) return;
   loggedCoordinator_ = std::move(coordinator);
   log_.line("membership.coordinator", loggedCoordinator_);
 }
 
-void Side::logDisseminationChanges() {
+void FleetService::logDisseminationChanges() {
   if (!disseminator_) return;
   if (const auto& parent = disseminator_->parent(); parent != parent_) {
     log_.line("membership.parent", fmt::format("{} was {}", orDash(parent), orDash(parent_)));
@@ -488,7 +491,7 @@
             fmt::format("age={} position={}", ageText(age), positionText(position())));
 }
 
-std::string Side::registerText() const {
+std::string FleetService::registerText() const {
   if (!holdsRegister()) return "NAK this member keeps no register yet\n";
   std::string out = fmt::format(
       "ACK commands={} {}\n", currentRegister().commands(),
@@ -499,7 +502,7 @@
   return out;
 }
 
-std::optional<std::string> Side::answer(std::string_view line) const {
+std::optional<std::string> FleetService::answer(std::string_view line) const {
   constexpr std::string_view kMembers = "members";
   constexpr std::string_view kExplain = "members explain ";
   constexpr std::string_view kRegister = "members register";
@@ -511,11 +514,11 @@
 
 // A header line, then one line per member, with fields separated by spaces. No string that a member announces
 // contains a space; an empty one is shown as "-".
-std::string Side::membersText() const {
+std::string FleetService::membersText() const {
   const auto now = loop_.now();
   std::string out =
       fmt::format("ACK self={} fleet={} standing={} alive={} known={} doubts={}{}{}\n", config_.name,
-                  config_.fleet, membership::kStandingNames[static_cast<int>(membershipState_)],
+                  config_.fleet, membership::kMembershipStateNames[static_cast<int>(membershipState_)],
                   detector_.alive(), detector_.view().size(), detector_.health(),
                   raftGroup_ ? fmt::format(" leader={} term={} decided={}", orDash(raftGroup_->leader()),
                                            raftGroup_->term(), raftGroup_->held().commands())
@@ -531,7 +534,7 @@
 
 // Fields of the header line: the position and age of this member's register and, at a voter, the low
 // watermark of the members counted below it in the dissemination tree.
-std::string Side::propagationText() const {
+std::string FleetService::propagationText() const {
   if (!disseminator_ || !holdsRegister()) return {};
   std::string out = fmt::format(" position={} age={} parent={}", positionText(position()),
                                 ageText(registerAge()), orDash(parent_));
@@ -544,7 +547,7 @@
   return out;
 }
 
-std::string Side::explainMember(const std::string& name) const {
+std::string FleetService::explainMember(const std::string& name) const {
   const auto at = detector_.view().find(name);
   if (at == detector_.view().end()) return "NAK no member has the name " + name + "\n";
   const auto& member = at->second;
@@ -562,14 +565,14 @@
                      nameOf(member.record.published.duty), member.record.published.revision,
                      member.record.incarnation, member.record.address);
   out += fmt::format("own doubts of {}: {} of {}\n", config_.name, detector_.health(),
-                     detector_.settings().worstHealth);
+                     detector_.settings().maxHealthScore);
   return out;
 }
 
-std::string Side::print() const {
+std::string FleetService::print() const {
   const auto line = [](const char* name, std::uint64_t value) { return fmt::format("{} {}\n", name, value); };
   const auto changes = disseminator_ ? disseminator_->counters() : dissemination::Counters{};
-  const auto watermark = disseminator_ ? disseminator_->inForce() : dissemination::InForce{};
+  const auto watermark = disseminator_ ? disseminator_->inForce() : dissemination::FleetProgress{};
   const auto age = registerAge();
   return line("members_alive", detector_.alive()) + line("members_known", detector_.view().size()) +
          line("membership_standing", static_cast<std::uint64_t>(membershipState_)) +
@@ -588,8 +591,9 @@
          fmt::format("register_age_ms {}\n", age < 0 ? -1 : age / kMs) +
          line("register_members", watermark.members) + line("register_level", watermark.level) +
          line("register_low", watermark.low.number) + line("register_asked", counters_.registerAsked) +
-         line("register_taken", counters_.registerTaken) + line("changes_applied", changes.changesApplied) +
-         line("snapshots_taken", changes.snapshotsTaken) + line("changes_sent", changes.sent) +
+         line("register_taken", counters_.registersAdopted) +
+         line("changes_applied", changes.changesApplied) +
+         line("snapshots_taken", changes.snapshotsInstalled) + line("changes_sent", changes.sent) +
          line("changes_sent_bytes", changes.sentBytes) + line("changes_received", changes.received) +
          line("changes_received_bytes", changes.receivedBytes) + line("changes_deferred", changes.deferred) +
          line("changes_broken", changes.broken) + line("changes_foreign", counters_.changesForeign) +
--- a/src/fleet/side.hpp
+++ b/src/fleet/fleet_service.hpp
@@ -12,12 +12,12 @@
 #include "broker/log.hpp"
 #include "config/membership_config.hpp"
 #include "dissemination/disseminator.hpp"
-#include "fleet/council.hpp"
+#include "fleet/raft_group.hpp"
 #include "fleet/streams.hpp"
+#include "membership/limit_sharing.hpp"
 #include "membership/load_meter.hpp"
-#include "membership/sharers.hpp"
-#include "membership/standing.hpp"
-#include "net/datagrams.hpp"
+#include "membership/membership_state.hpp"
+#include "net/udp_socket.hpp"
 
 namespace topazweir::fleet {
 
@@ -42,27 +42,27 @@
   std::uint64_t broken = 0;
   std::uint64_t foreign = 0;
   std::uint64_t otherVersion = 0;
-  std::uint64_t unsent = 0;          // datagrams that the socket did not accept
-  std::uint64_t votersDiffer = 0;    // Raft messages ignored since the sender has another list of voters
-  std::uint64_t registerAsked = 0;   // requests to a voter for the whole register
-  std::uint64_t registerTaken = 0;   // registers adopted from a voter's reply, since they were newer
-  std::uint64_t changesForeign = 0;  // dissemination messages of senders that are not known members
+  std::uint64_t unsent = 0;            // datagrams that the socket did not accept
+  std::uint64_t votersDiffer = 0;      // Raft messages ignored since the sender has another list of voters
+  std::uint64_t registerAsked = 0;     // requests to a voter for the whole register
+  std::uint64_t registersAdopted = 0;  // registers adopted from a voter's reply, since they were newer
+  std::uint64_t changesForeign = 0;    // dissemination messages of senders that are not known members
 };
 
 // Appended to a member's version, as build metadata of semantic versioning, if it can read the
 // dissemination's messages. Members without it are left out of the tree; they would count these messages as
 // malformed.
-inline constexpr std::string_view kDisseminates = "+d1";
+inline constexpr std::string_view kDisseminationSuffix = "+d1";
 
-class Side {
+class FleetService {
  public:
   // `initialShare`: the share of fleet-wide limits, with this aggregator's index, until other members are
   // known. Nothing is sent before start().
-  Side(net::Loop& loop, broker::Log& log, const config::Membership& config, const std::string& version,
-       std::uint64_t seed, membership::Share initialShare, Host& host);
-  ~Side();
-  Side(const Side&) = delete;
-  Side& operator=(const Side&) = delete;
+  FleetService(net::Loop& loop, broker::Log& log, const config::MembershipConfig& config,
+               const std::string& version, std::uint64_t seed, membership::Share initialShare, Host& host);
+  ~FleetService();
+  FleetService(const FleetService&) = delete;
+  FleetService& operator=(const FleetService&) = delete;
 
   // Starts listening and joins the fleet. If another process of this aggregator still holds the address, this
   // is retried until it is free. Throws config::ConfigError if it cannot listen on the address otherwise, or
@@ -81,17 +81,17 @@
   // Answers the operators' calls "members", "members explain NAME" and "members register". None: the line is
   // another call.
   std::optional<std::string> answer(std::string_view line) const;
-  const config::Membership& config() const { return config_; }
+  const config::MembershipConfig& config() const { return config_; }
   const membership::Detector& detector() const { return detector_; }
-  membership::Standing standing() const { return membershipState_; }
-  const Council* council() const { return raftGroup_ ? &*raftGroup_ : nullptr; }  // null: not a voter
+  membership::MembershipState standing() const { return membershipState_; }
+  const RaftGroup* raftGroup() const { return raftGroup_ ? &*raftGroup_ : nullptr; }  // null: not a voter
   const dissemination::Disseminator* disseminator() const { return disseminator_.get(); }  // null: no voters
   // Position of the register held here.
   dissemination::Position position() const;
   // Time since a voter that knew of a leader last confirmed the register held here; negative: never.
   Nanos registerAge() const;
   const Counters& counters() const { return counters_; }
-  const Streams* streams() const { return streams_ ? &*streams_ : nullptr; }  // null: not listening
+  const StreamExchanges* streams() const { return streams_ ? &*streams_ : nullptr; }  // null: not listening
   std::string print() const;  // counters, as "name value" lines
 
  private:
@@ -106,7 +106,7 @@
   void applyStep(membership::Step step, std::string* reply = nullptr);
   void send(const membership::Out& out);
   void onRaftMessage(const membership::Message& message);
-  void sendRaftMessages(const std::vector<Council::Out>& messages);
+  void sendRaftMessages(const std::vector<RaftGroup::Out>& messages);
   std::string voterAddress(const std::string& voter) const;
   std::uint64_t commandsKnownTo(const membership::Message& request) const;
   std::string replyToFollower(const membership::Message& request);
@@ -130,17 +130,17 @@
 
   net::Loop& loop_;
   broker::Log& log_;
-  config::Membership config_;
+  config::MembershipConfig config_;
   Host& host_;
   membership::Detector detector_;
   membership::LoadMeter loadMeter_;
-  membership::Sharers sharers_;
+  membership::LimitSharing sharers_;
   membership::Share share_;
   std::uint64_t seed_;
-  membership::Standing membershipState_ = membership::Standing::alone;
-  std::optional<net::Datagrams> datagrams_;
-  std::optional<Streams> streams_;
-  std::optional<Council> raftGroup_;  // if this is a voter
+  membership::MembershipState membershipState_ = membership::MembershipState::isolated;
+  std::optional<net::UdpSocket> datagrams_;
+  std::optional<StreamExchanges> streams_;
+  std::optional<RaftGroup> raftGroup_;  // if this is a voter
   // If voters are configured. Members that are not voters get the register by dissemination, and request it
   // from a voter (follower_) only while the dissemination does not reach them.
   std::unique_ptr<dissemination::Disseminator> disseminator_;
--- a/src/fleet/council.cpp
+++ b/src/fleet/raft_group.cpp
@@ -1,4 +1,4 @@
-#include "fleet/council.hpp"
+#include "fleet/raft_group.hpp"
 
 #include <xxhash.h>
 
@@ -40,7 +40,7 @@
 
 }  // namespace
 
-Council::Council(const config::Membership& config, std::uint64_t seed, Nanos now)
+RaftGroup::RaftGroup(const config::MembershipConfig& config, std::uint64_t seed, Nanos now)
     : self_(config.name),
       names_(sorted(config.voterNames())),
       groupTag_(groupTagOf(names_)),
@@ -56,12 +56,12 @@
   voter_ = std::make_unique<agreement::Voter>(options, store_, now);
 }
 
-std::string Council::leader() const {
+std::string RaftGroup::leader() const {
   const auto id = voter_->leader();
   return id > 0 && id <= names_.size() ? names_[id - 1] : std::string();
 }
 
-std::vector<Council::Out> Council::collect(agreement::Voter::Step step) {
+std::vector<RaftGroup::Out> RaftGroup::collect(agreement::Voter::Step step) {
   for (const auto& outcome : step.outcomes)
     proposalPending_ = proposalPending_ && outcome.token != lastToken_;
   std::move(step.applied.begin(), step.applied.end(), std::back_inserter(applied_));
@@ -72,15 +72,15 @@
 
 // The command that this voter should propose as the leader: the generation first, since all later commands
 // belong to it, then itself as coordinator, with a higher fence, if the role names another member.
-std::optional<agreement::Command> Council::dueCommand(Nanos now) const {
+std::optional<agreement::Command> RaftGroup::dueCommand(Nanos now) const {
   if (!held().find(dissemination::kGenerationKey))
     return agreement::Command{dissemination::kGenerationKey, std::to_string(now / kMs), 0};
-  const auto* role = held().find(kCoordinator);
+  const auto* role = held().find(kCoordinatorKey);
   if (role && role->value == self_) return std::nullopt;
-  return agreement::Command{kCoordinator, self_, role ? role->fence : 0};
+  return agreement::Command{kCoordinatorKey, self_, role ? role->fence : 0};
 }
 
-void Council::proposeDueCommand(Nanos now, std::vector<Out>& out) {
+void RaftGroup::proposeDueCommand(Nanos now, std::vector<Out>& out) {
   if (!voter_->leads()) proposalPending_ = false;
   if (proposalPending_ || !voter_->leads()) return;
   const auto command = dueCommand(now);
@@ -91,7 +91,7 @@
   for (auto& message : collect(std::move(*step))) out.push_back(std::move(message));
 }
 
-bool Council::propose(const agreement::Command& command, Nanos now, std::vector<Out>& out) {
+bool RaftGroup::propose(const agreement::Command& command, Nanos now, std::vector<Out>& out) {
   constexpr std::uint64_t kUntrackedToken = 0;  // proposals by dueCommand() have tokens from 1
   auto step = voter_->leads() ? voter_->propose(command, kUntrackedToken, now) : std::nullopt;
   if (!step) return false;
@@ -99,13 +99,13 @@
   return true;
 }
 
-std::vector<Council::Out> Council::tick(Nanos now) {
+std::vector<RaftGroup::Out> RaftGroup::tick(Nanos now) {
   auto out = collect(voter_->tick(now));
   proposeDueCommand(now, out);
   return out;
 }
 
-bool Council::received(const std::string& from, std::string_view bytes, Nanos now, std::vector<Out>& out) {
+bool RaftGroup::received(const std::string& from, std::string_view bytes, Nanos now, std::vector<Out>& out) {
   const auto at = std::find(names_.begin(), names_.end(), from);
   if (at == names_.end() || !bytes.starts_with(groupTag_)) return false;
   const auto id = static_cast<agreement::VoterId>(at - names_.begin()) + 1;
--- a/src/fleet/council.hpp
+++ b/src/fleet/raft_group.hpp
@@ -16,17 +16,17 @@
 
 namespace topazweir::fleet {
 
-class Council {
+class RaftGroup {
  public:
   struct Out {
     std::string to;  // a voter's name
     std::string bytes;
   };
   // Key of the register that names the fleet's coordinator: the leader, with a fence that only increases.
-  static constexpr const char* kCoordinator = "role/coordinator";
+  static constexpr const char* kCoordinatorKey = "role/coordinator";
 
   // Throws std::runtime_error with a readable message if the persistent state cannot be used.
-  Council(const config::Membership& config, std::uint64_t seed, Nanos now);
+  RaftGroup(const config::MembershipConfig& config, std::uint64_t seed, Nanos now);
 
   std::vector<Out> tick(Nanos now);
   // Handles a message of another voter. False: ignored, since the sender is not a voter here, or its list of
--- a/src/fleet/streams.cpp
+++ b/src/fleet/streams.cpp
@@ -13,8 +13,8 @@
 constexpr Nanos kConnectTimeoutNs = 2'000'000'000;
 }  // namespace
 
-Streams::Streams(net::Loop& loop, const Poco::Net::SocketAddress& address, RequestHandler onRequest,
-                 ReplyHandler onReply)
+StreamExchanges::StreamExchanges(net::Loop& loop, const Poco::Net::SocketAddress& address,
+                                 RequestHandler onRequest, ReplyHandler onReply)
     : loop_(loop),
       onRequest_(std::move(onRequest)),
       onReply_(std::move(onReply)),
@@ -22,18 +22,18 @@
   sweepTimer_ = loop_.after(kSweepIntervalNs, [this] { sweep(); });
 }
 
-Streams::~Streams() {
+StreamExchanges::~StreamExchanges() {
   loop_.cancel(sweepTimer_);
   for (auto& [key, exchange] : exchanges_) exchange.connection->close();
 }
 
-std::size_t Streams::count(bool outgoing) const {
+std::size_t StreamExchanges::count(bool outgoing) const {
   return static_cast<std::size_t>(std::count_if(exchanges_.begin(), exchanges_.end(), [&](const auto& entry) {
     return entry.second.outgoing == outgoing;
   }));
 }
 
-Streams::Exchange& Streams::add(std::shared_ptr<net::Connection> connection, bool outgoing) {
+StreamExchanges::Exchange& StreamExchanges::add(std::shared_ptr<net::Connection> connection, bool outgoing) {
   auto& exchange = exchanges_[connection.get()];
   exchange.connection = std::move(connection);
   exchange.outgoing = outgoing;
@@ -42,10 +42,10 @@
   return exchange;
 }
 
-void Streams::accept() {
+void StreamExchanges::accept() {
   try {
     while (true) {
-      if (count(false) >= kMostAsking) return listener_.watch(false);  // until the next sweep
+      if (count(false) >= kMaxIncomingConnections) return listener_.watch(false);  // until the next sweep
       auto socket = listener_.accept();
       if (!socket) return;
       add(net::Connection::adopt(loop_, *socket, *this), false);
@@ -55,28 +55,28 @@
   }
 }
 
-void Streams::ask(const Poco::Net::SocketAddress& to, std::string_view message) {
-  if (count(true) >= kMostAsked) return void(++counters_.leftOut);
+void StreamExchanges::ask(const Poco::Net::SocketAddress& to, std::string_view message) {
+  if (count(true) >= kMaxOutgoingConnections) return void(++counters_.leftOut);
   add(net::Connection::connect(loop_, to, kConnectTimeoutNs, *this), true).request = framed(message);
 }
 
-void Streams::tell(const Poco::Net::SocketAddress& to, std::string_view message) {
-  if (count(true) >= kMostAsked) return void(++counters_.leftOut);
+void StreamExchanges::tell(const Poco::Net::SocketAddress& to, std::string_view message) {
+  if (count(true) >= kMaxOutgoingConnections) return void(++counters_.leftOut);
   auto& exchange = add(net::Connection::connect(loop_, to, kConnectTimeoutNs, *this), true);
   exchange.oneWay = true;
   exchange.request = framed(message);
 }
 
-void Streams::onUp(net::Connection& connection) {
+void StreamExchanges::onUp(net::Connection& connection) {
   const auto at = exchanges_.find(&connection);
   counters_.sentBytes += at->second.request.size();
   connection.write(std::move(at->second.request));
   if (!at->second.oneWay) return;
-  connection.closeGently();  // the connection keeps itself alive until the peer has read everything
+  connection.closeGracefully();  // the connection keeps itself alive until the peer has read everything
   exchanges_.erase(at);
 }
 
-void Streams::onData(net::Connection& connection) {
+void StreamExchanges::onData(net::Connection& connection) {
   const auto at = exchanges_.find(&connection);
   if (at == exchanges_.end()) return;
   auto& exchange = at->second;
@@ -85,7 +85,7 @@
   connection.resume();
   const auto length = messageLength(exchange.input);
   if (length == std::string_view::npos) return;
-  if (length > kMaxStreamMessageBytes) return connection.end(net::ConnectionEnd::badPeer);
+  if (length > kMaxStreamMessageBytes) return connection.end(net::ConnectionEnd::protocolError);
   if (exchange.input.size() < kFrameHead + length) return;
   const auto complete = std::move(exchange);
   exchanges_.erase(at);
@@ -99,10 +99,10 @@
     counters_.sentBytes += kFrameHead + reply.size();
     complete.connection->write(framed(reply));
   }
-  complete.connection->closeGently();
+  complete.connection->closeGracefully();
 }
 
-void Streams::onEnd(net::Connection& connection, net::ConnectionEnd end) {
+void StreamExchanges::onEnd(net::Connection& connection, net::ConnectionEnd end) {
   const auto at = exchanges_.find(&connection);
   if (at == exchanges_.end()) return;
   const bool neverConnected = end == net::ConnectionEnd::refused || end == net::ConnectionEnd::unreachable ||
@@ -111,7 +111,7 @@
   exchanges_.erase(at);
 }
 
-void Streams::sweep() {
+void StreamExchanges::sweep() {
   sweepTimer_ = loop_.after(kSweepIntervalNs, [this] { sweep(); });
   std::vector<std::shared_ptr<net::Connection>> expired;
   for (const auto& [key, exchange] : exchanges_)
--- a/src/fleet/streams.hpp
+++ b/src/fleet/streams.hpp
@@ -13,19 +13,19 @@
 
 namespace topazweir::fleet {
 
-class Streams : private net::Connection::Owner {
+class StreamExchanges : private net::Connection::Owner {
  public:
   // Returns the reply to a received request; empty: the connection is closed without a reply.
   using RequestHandler = std::function<std::string(std::string_view message)>;
   using ReplyHandler = std::function<void(std::string_view reply)>;
 
   // Throws Poco::Exception if it cannot listen on the address.
-  Streams(net::Loop& loop, const Poco::Net::SocketAddress& address, RequestHandler onRequest,
-          ReplyHandler onReply);
-  ~Streams() override;
+  StreamExchanges(net::Loop& loop, const Poco::Net::SocketAddress& address, RequestHandler onRequest,
+                  ReplyHandler onReply);
+  ~StreamExchanges() override;
 
-  // Sends a request. It is dropped and counted if kMostAsked outgoing connections are open; the protocols
-  // that use this repeat their exchanges.
+  // Sends a request. It is dropped and counted if kMaxOutgoingConnections outgoing connections are open; the
+  // protocols that use this repeat their exchanges.
   void ask(const Poco::Net::SocketAddress& to, std::string_view message);
   // Sends a message without waiting for a reply; dropped like a request.
   void tell(const Poco::Net::SocketAddress& to, std::string_view message);
@@ -35,14 +35,14 @@
   struct Counters {
     std::uint64_t connected = 0;  // outgoing connections, failed ones included
     std::uint64_t accepted = 0;   // incoming connections
-    std::uint64_t leftOut = 0;    // messages dropped since kMostAsked connections were open
+    std::uint64_t leftOut = 0;    // messages dropped since kMaxOutgoingConnections connections were open
     std::uint64_t sentBytes = 0;  // including the length in front of each message
     std::uint64_t receivedBytes = 0;
   };
   const Counters& counters() const { return counters_; }
 
-  static constexpr std::size_t kMostAsked = 16;               // outgoing connections at a time
-  static constexpr std::size_t kMostAsking = 32;              // incoming connections at a time
+  static constexpr std::size_t kMaxOutgoingConnections = 16;  // outgoing connections at a time
+  static constexpr std::size_t kMaxIncomingConnections = 32;  // incoming connections at a time
   static constexpr Nanos kExchangeTimeoutNs = 5'000'000'000;  // from the connection attempt to the reply
 
  private:
--- a/src/grpc/backend.cpp
+++ b/src/grpc/backend.cpp
@@ -17,13 +17,13 @@
 // How often idle connections are looked for.
 constexpr Nanos kSweepIntervalNs = 1'000'000'000;
 
-broker::Verdict verdictOf(calls::Class callClass) {
+broker::Verdict verdictOf(calls::CallResult callClass) {
   switch (callClass) {
-    case calls::Class::answered:
+    case calls::CallResult::answered:
       return broker::Verdict::answered;
-    case calls::Class::refused:
+    case calls::CallResult::refused:
       return broker::Verdict::refused;
-    case calls::Class::failed:
+    case calls::CallResult::failed:
       break;
   }
   return broker::Verdict::failed;
@@ -31,8 +31,8 @@
 
 }  // namespace
 
-Backend::Backend(net::Loop& loop, broker::Log& log, const Exchanges& exchanges, const config::Grpc& config,
-                 Callbacks callbacks)
+Backend::Backend(net::Loop& loop, broker::Log& log, const Exchanges& exchanges,
+                 const config::GrpcConfig& config, Callbacks callbacks)
     : loop_(loop),
       log_(log),
       exchanges_(exchanges),
@@ -52,8 +52,8 @@
   for (auto& [id, stream] : streams_) loop_.cancel(stream.timer);
 }
 
-ListNews Backend::servers(const config::GrpcPool& pool, ListNews::Scope scope) {
-  ListNews update;
+ServerListUpdate Backend::servers(const config::GrpcPool& pool, ServerListUpdate::Scope scope) {
+  ServerListUpdate update;
   update.scope = scope;
   std::map<std::string, int> zones;
   std::set<ServerId> listed;
@@ -80,15 +80,15 @@
 
 Backend::PooledConnection* Backend::connectionFor(const Server& server) {
   auto& connections = byAddress_[server.address];
-  std::vector<calls::LinkState> states;
+  std::vector<calls::ConnectionState> states;
   states.reserve(connections.size());
   for (const auto* connection : connections)
     states.push_back({connection->session->up(), connection->goaway || connection->session->exhausted(),
                       connection->streams.size(),
                       std::min(server.maxStreams, connection->session->maxPeerStreams())});
-  const auto choice = calls::chooseLink(states, server.maxConnections);
-  if (choice.kind == calls::LinkChoice::Kind::use) return connections[choice.at];
-  if (choice.kind == calls::LinkChoice::Kind::none) return nullptr;
+  const auto choice = calls::chooseConnection(states, server.maxConnections);
+  if (choice.kind == calls::ConnectionChoice::Kind::use) return connections[choice.at];
+  if (choice.kind == calls::ConnectionChoice::Kind::none) return nullptr;
   auto connection = std::make_unique<PooledConnection>();
   connection->address = server.address;
   connection->session = http2::Session::connect(loop_, Poco::Net::SocketAddress(server.address),
@@ -121,7 +121,7 @@
     if (queue.size() >= server->second.maxQueued) return endAttempt(id, {.ending = Ending::noStream});
     queue.push_back(id);
   }
-  if (const Nanos time = exchange.route->policy.attemptTime; time > 0 && time < order.wait)
+  if (const Nanos time = exchange.route->policy.attemptTimeout; time > 0 && time < order.wait)
     stream.timer = loop_.after(time, [this, id] {
       if (const auto at = streams_.find(id); at != streams_.end() && !at->second.exchange->call.committed())
         endAttempt(id, {.ending = at->second.connection ? Ending::silent : Ending::noStream});
@@ -205,7 +205,7 @@
   reportEnd(id, next);
 }
 
-void Backend::reportEnd(const broker::AttemptId& id, const calls::Next& next) {
+void Backend::reportEnd(const broker::AttemptId& id, const calls::AttemptDecision& next) {
   if (next.final) return callbacks_.settle(id, next.outcome, verdictOf(next.counted));
   if (next.wait <= 0) return callbacks_.ended(id, next.outcome);
   // The backend asked for a pause before the next attempt (grpc-retry-pushback-ms).
@@ -231,7 +231,7 @@
   if (!stream) return;
   auto& exchange = *stream->exchange;
   if (head.empty()) return endAttempt(stream->id, {.ending = Ending::tooLarge});
-  const auto status = calls::readCode(calls::find(head, "grpc-status").value_or(""));
+  const auto status = calls::parseStatusCode(calls::find(head, "grpc-status").value_or(""));
   if (end && status)
     return endAttempt(stream->id, {.ending = Ending::trailers, .status = status}, std::move(head));
   const auto http = calls::find(head, ":status").value_or("");
@@ -266,7 +266,7 @@
 void Backend::onEnd(http2::Session& session, http2::StreamId id, calls::Fields trailers) {
   auto* stream = findStream(session, id);
   if (!stream) return;
-  const auto status = calls::readCode(calls::find(trailers, "grpc-status").value_or(""));
+  const auto status = calls::parseStatusCode(calls::find(trailers, "grpc-status").value_or(""));
   if (!status) {
     ++counters_.cutStreams;
     return endAttempt(stream->id, {.ending = Ending::noStatus});
@@ -298,20 +298,20 @@
   connection.lastProcessed = last;
 }
 
-http2::Pulled Backend::onPull(http2::Session& session, http2::StreamId id, char* to, std::size_t most) {
+http2::BodyRead Backend::onReadBody(http2::Session& session, http2::StreamId id, char* to, std::size_t most) {
   auto* stream = findStream(session, id);
-  if (!stream) return {0, http2::Pulled::Then::wait, {}};
+  if (!stream) return {0, http2::BodyRead::Then::wait, {}};
   auto& exchange = *stream->exchange;
-  http2::Pulled out;
+  http2::BodyRead out;
   out.size = exchange.call.request().read(stream->sentOffset, to, most);
   stream->sentOffset += out.size;
   const bool allSent = stream->sentOffset == exchange.call.request().end();
-  out.then = !allSent                       ? http2::Pulled::Then::more
-             : exchange.call.requestEnded() ? http2::Pulled::Then::end
-                                            : http2::Pulled::Then::wait;
-  stream->endSent = out.then == http2::Pulled::Then::end;
+  out.then = !allSent                       ? http2::BodyRead::Then::more
+             : exchange.call.requestEnded() ? http2::BodyRead::Then::end
+                                            : http2::BodyRead::Then::wait;
+  stream->endSent = out.then == http2::BodyRead::Then::end;
   if (exchange.call.committed() == stream->id.attempt) {
-    if (const auto more = exchange.call.requestTaken(stream->sentOffset); more > 0 && exchange.downstream)
+    if (const auto more = exchange.call.requestConsumed(stream->sentOffset); more > 0 && exchange.downstream)
       exchange.downstream->acknowledgeRequest(exchange, more);
   } else if (!exchange.call.committed() &&
              ((exchange.longOpen && !exchange.call.requestEnded()) || exchange.call.outgrown())) {
@@ -345,7 +345,7 @@
     if (at == streams_.end()) continue;
     // What was sent before the call was committed no longer needs to be kept.
     if (exchange.call.committed() == attempt)
-      if (const auto more = exchange.call.requestTaken(at->second.sentOffset);
+      if (const auto more = exchange.call.requestConsumed(at->second.sentOffset);
           more > 0 && exchange.downstream)
         exchange.downstream->acknowledgeRequest(exchange, more);
     if (at->second.connection) at->second.connection->session->resume(at->second.stream);
@@ -379,7 +379,7 @@
   const auto at = connections_.find(&session);
   if (at == connections_.end()) return;
   auto& connection = *at->second;
-  if (how != net::ConnectionEnd::closedHere)
+  if (how != net::ConnectionEnd::closedLocally)
     log_.line("grpc.backend_gone", fmt::format("backend={} end={} streams={}", connection.address,
                                                net::nameOf(how), connection.streams.size()));
   const auto streams = std::exchange(connection.streams, {});
@@ -392,8 +392,8 @@
     const bool unprocessed = connection.goaway && id > connection.lastProcessed;
     endings.push_back({attempt,
                        {.ending = unprocessed ? Ending::aboveGoaway
-                                  : written   ? Ending::lostAfter
-                                              : Ending::lostBefore}});
+                                  : written   ? Ending::lostAfterSend
+                                              : Ending::lostBeforeSend}});
     if (const auto s = streams_.find(attempt); s != streams_.end()) s->second.connection = nullptr;
   }
   const auto address = connection.address;
--- a/src/grpc/backend.hpp
+++ b/src/grpc/backend.hpp
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "broker/log.hpp"
-#include "calls/links.hpp"
+#include "calls/connection_choice.hpp"
 #include "grpc/exchange.hpp"
 
 namespace topazweir::grpc {
@@ -36,13 +36,13 @@
     // The attempt has ended, and the call with it.
     std::function<void(const broker::AttemptId&, Outcome, broker::Verdict)> settle;
   };
-  Backend(net::Loop& loop, broker::Log& log, const Exchanges& exchanges, const config::Grpc& config,
+  Backend(net::Loop& loop, broker::Log& log, const Exchanges& exchanges, const config::GrpcConfig& config,
           Callbacks callbacks);
   ~Backend() override;
 
   // Replaces the known servers by the pool's, and returns the list for the decision module. A server keeps
   // its number as long as its address and shard are listed.
-  ListNews servers(const config::GrpcPool& pool, ListNews::Scope scope);
+  ServerListUpdate servers(const config::GrpcPool& pool, ServerListUpdate::Scope scope);
 
   void start(broker::AttemptOrder order) override;
   void cancel(const broker::AttemptId& id) override;
@@ -88,7 +88,8 @@
   void onEnd(http2::Session& session, http2::StreamId id, calls::Fields trailers) override;
   void onClosed(http2::Session& session, http2::StreamId id, std::uint32_t code) override;
   void onGoaway(http2::Session& session, http2::StreamId last, std::uint32_t code) override;
-  http2::Pulled onPull(http2::Session& session, http2::StreamId id, char* to, std::size_t most) override;
+  http2::BodyRead onReadBody(http2::Session& session, http2::StreamId id, char* to,
+                             std::size_t most) override;
   void onGone(http2::Session& session, net::ConnectionEnd end) override;
 
   // A connection with a free stream, opened if need be; null: the server is at its limits.
@@ -100,7 +101,7 @@
   Stream* findStream(http2::Session& session, http2::StreamId id);
   // `id` by value: callers pass it from the stream that is erased here.
   void endAttempt(broker::AttemptId id, const calls::Ended& how, calls::Fields trailers = {});
-  void reportEnd(const broker::AttemptId& id, const calls::Next& next);
+  void reportEnd(const broker::AttemptId& id, const calls::AttemptDecision& next);
   // Erases a stream, open or queued; an open one is reset with `code` unless that is NO_ERROR.
   void releaseStream(Stream& stream, std::uint32_t code);
   // commitToNewest() in a later turn of the loop.
--- a/src/grpc/core.hpp
+++ b/src/grpc/core.hpp
@@ -18,7 +18,7 @@
   // calls.
   using Finished = std::function<void(Exchange&, const broker::FinalAnswer&)>;
 
-  Core(net::Loop& loop, broker::Log& log, const config::Grpc& config, const config::GrpcPool& pool,
+  Core(net::Loop& loop, broker::Log& log, const config::GrpcConfig& config, const config::GrpcPool& pool,
        Finished finished)
       : fixedSettings_(fixedSettingsOf(config, pool)),
         finished_(std::move(finished)),
@@ -26,7 +26,7 @@
         backend_(
             loop, log, exchanges_, config,
             {[this](const auto& id, auto outcome) { broker_.attemptEnded(id, outcome); },
-             [this](const auto& id, bool heard) { return broker_.attemptBegan(id, heard); },
+             [this](const auto& id, bool heard) { return broker_.attemptStreaming(id, heard); },
              [this](const auto& id, auto outcome, auto verdict) { broker_.settle(id, outcome, verdict); }}),
         broker_(pool.terms, clock_, backend_, log) {
     updateServers(pool);
@@ -34,10 +34,10 @@
 
   // Passes on the pool's server list.
   void updateServers(const config::GrpcPool& pool) {
-    broker_.told(backend_.servers(pool, ListNews::Scope::full));
+    broker_.updateServers(backend_.servers(pool, ServerListUpdate::Scope::full));
   }
   // Whether this core can serve the pool under this configuration, with an updated server list alone.
-  bool fits(const config::Grpc& config, const config::GrpcPool& pool) const {
+  bool fits(const config::GrpcConfig& config, const config::GrpcPool& pool) const {
     return fixedSettings_ == fixedSettingsOf(config, pool);
   }
   // Registers a call and sets the exchange's `requestNo` and `core`; start() sends its first attempt. Returns
@@ -57,7 +57,7 @@
     exchanges_.erase(exchange.requestNo);
   }
   // Cancels the attempts and finishes the call as failed.
-  void failCall(Exchange& exchange) { broker_.giveUp(exchange.requestNo); }
+  void failCall(Exchange& exchange) { broker_.failRequest(exchange.requestNo); }
 
   Backend& backend() { return backend_; }
   const Backend& backend() const { return backend_; }
@@ -84,7 +84,7 @@
     Nanos idle = 0;
     bool operator==(const FixedSettings&) const = default;
   };
-  static FixedSettings fixedSettingsOf(const config::Grpc& config, const config::GrpcPool& pool) {
+  static FixedSettings fixedSettingsOf(const config::GrpcConfig& config, const config::GrpcPool& pool) {
     FixedSettings out{pool.terms.settings, pool.terms.maxOpen,    config.headBytes, config.window,
                       config.keepalive,    config.connectTimeout, config.idle};
     out.settings.seed = 0;  // differs with each reading of the configuration, and is used only at the start
--- a/src/grpc/exchange.hpp
+++ b/src/grpc/exchange.hpp
@@ -43,7 +43,7 @@
 };
 
 struct Exchange {
-  Exchange(const calls::Policy& policy, calls::Pressure& pressure)
+  Exchange(const calls::CallPolicy& policy, calls::BufferBudget& pressure)
       : call(policy, pressure), response(pressure) {}
 
   std::string id;                            // unique among the open calls; in every log line of the call
@@ -57,12 +57,13 @@
   calls::Call call;
   calls::Body response;
   std::uint64_t responseSentOffset = 0;  // end of what has been passed on to the client
-  calls::Meter meter;                    // of the response's messages
+  calls::MessageMeter meter;             // of the response's messages
   calls::Fields responseHead;
-  std::optional<calls::Fields> trailers;   // with the final status, once the core has finished the call
-  std::optional<calls::Final> frontFinal;  // set by the front; takes precedence over the attempts' results
-  bool headSent = false;                   // to the client
-  bool longOpen = false;                   // its request has stayed open for longer than `openAfter`
+  std::optional<calls::Fields> trailers;  // with the final status, once the core has finished the call
+  std::optional<calls::CallStatus>
+      frontFinal;         // set by the front; takes precedence over the attempts' results
+  bool headSent = false;  // to the client
+  bool longOpen = false;  // its request has stayed open for longer than `streamingAfter`
 
   Core* core = nullptr;               // outlives the call; null: a health check
   Downstream* downstream = nullptr;   // null: the client has left
--- a/src/grpc/front.cpp
+++ b/src/grpc/front.cpp
@@ -116,7 +116,8 @@
 void Front::refuse(http2::Session& session, http2::StreamId id, int httpStatus, calls::Code code,
                    std::string_view message, std::optional<Nanos> retryAfter) {
   ++counters_.statuses[static_cast<std::size_t>(code)];
-  session.respondHeadersOnly(id, ownResponseHead(httpStatus, calls::writeStatus(code, message, retryAfter)));
+  session.respondHeadersOnly(
+      id, ownResponseHead(httpStatus, calls::makeStatusTrailers(code, message, retryAfter)));
 }
 
 void Front::onHead(http2::Session& session, http2::StreamId id, calls::Fields head, bool end) {
@@ -126,7 +127,7 @@
     return refuse(session, id, 431, calls::Code::resourceExhausted,
                   fmt::format("the head is over headBytes, {}", plan_->config.headBytes));
   }
-  if (const auto fault = calls::faultOf(head)) {
+  if (const auto fault = calls::validateRequest(head)) {
     ++counters_.malformed;
     return refuse(session, id, fault->http, fault->code, fault->words);
   }
@@ -144,9 +145,9 @@
 
 void Front::acceptCall(http2::Session& session, http2::StreamId id, calls::Fields head, bool end) {
   const auto& plan = *plan_;
-  const auto path = *calls::readPath(*calls::find(head, ":path"));
+  const auto path = *calls::parsePath(*calls::find(head, ":path"));
   const bool health = path.service == kHealthService;
-  static const calls::Policy kHealthPolicy;
+  static const calls::CallPolicy kHealthPolicy;
   const auto route = health ? std::optional<std::size_t>(0) : plan.routes.find(head);
   if (!route) {
     ++counters_.unrouted;
@@ -190,11 +191,11 @@
     shard = calls::shardOf(*key, pool.shards);
   }
   std::optional<Nanos> asked;
-  if (const auto timeout = calls::find(head, "grpc-timeout")) asked = calls::readTimeout(*timeout);
+  if (const auto timeout = calls::find(head, "grpc-timeout")) asked = calls::parseTimeout(*timeout);
   broker::Request request;
   request.id = exchange->id;
   request.queryClass = chosen.queryClass;
-  request.timeLeft = calls::timeFor(asked, chosen.limits.deadline);
+  request.timeLeft = calls::effectiveTimeout(asked, chosen.limits.deadline);
   request.repeat = calls::find(head, "grpc-previous-rpc-attempts").has_value();
   request.parts.push_back({shard, 1.0});
   if (request.timeLeft <= 0)
@@ -242,7 +243,8 @@
 
 void Front::fail(Exchange& exchange, calls::Code code, std::string_view message) {
   if (exchange.trailers) return;
-  exchange.frontFinal = {calls::Class::failed, code, calls::writeStatus(code, message, std::nullopt), false};
+  exchange.frontFinal = {calls::CallResult::failed, code,
+                         calls::makeStatusTrailers(code, message, std::nullopt), false};
   if (exchange.core) {
     exchange.core->failCall(exchange);
   } else {  // a health check
@@ -250,7 +252,7 @@
   }
 }
 
-void Front::sendFinal(Exchange& exchange, calls::Final final) {
+void Front::sendFinal(Exchange& exchange, calls::CallStatus final) {
   ++counters_.statuses[static_cast<std::size_t>(final.code)];
   // The backend's response was Trailers-Only: the fields are those of a complete response head.
   const bool trailersOnly = calls::find(final.trailers, ":status").has_value();
@@ -285,22 +287,22 @@
   exchange.core->abandon(exchange);
 }
 
-http2::Pulled Front::onPull(http2::Session& session, http2::StreamId id, char* to, std::size_t most) {
+http2::BodyRead Front::onReadBody(http2::Session& session, http2::StreamId id, char* to, std::size_t most) {
   const auto exchange = findExchange(session, id);
-  if (!exchange) return {0, http2::Pulled::Then::end, {}};
-  http2::Pulled out;
+  if (!exchange) return {0, http2::BodyRead::Then::end, {}};
+  http2::BodyRead out;
   out.size = exchange->response.read(exchange->responseSentOffset, to, most);
   exchange->responseSentOffset += out.size;
   exchange->response.release(exchange->responseSentOffset);
   if (out.size > 0) clients_.at(&session)->lastProgressAt = loop_.now();
   if (out.size > 0 && exchange->upstream) exchange->upstream->acknowledgeResponse(*exchange, out.size);
   if (exchange->responseSentOffset < exchange->response.end()) {
-    out.then = http2::Pulled::Then::more;
+    out.then = http2::BodyRead::Then::more;
   } else if (exchange->trailers) {
-    out.then = http2::Pulled::Then::trailers;
+    out.then = http2::BodyRead::Then::trailers;
     out.last = *exchange->trailers;
   } else {
-    out.then = http2::Pulled::Then::wait;
+    out.then = http2::BodyRead::Then::wait;
   }
   return out;
 }
@@ -321,10 +323,10 @@
 
 void Front::onCallFinished(Exchange& exchange, const broker::FinalAnswer& answer) {
   incompleteRequests_.erase({exchange.acceptedAt, &exchange});
-  const auto callClass = answer.verdict == broker::Verdict::answered  ? calls::Class::answered
-                         : answer.verdict == broker::Verdict::refused ? calls::Class::refused
-                                                                      : calls::Class::failed;
-  const bool overdue = answer.timedOut || (callClass != calls::Class::answered &&
+  const auto callClass = answer.verdict == broker::Verdict::answered  ? calls::CallResult::answered
+                         : answer.verdict == broker::Verdict::refused ? calls::CallResult::refused
+                                                                      : calls::CallResult::failed;
+  const bool overdue = answer.timedOut || (callClass != calls::CallResult::answered &&
                                            loop_.now() + kDeadlineMarginNs >= exchange.deadline);
   auto final = exchange.call.finish(callClass, overdue, answer.retryAfter);
   if (exchange.frontFinal) final = *exchange.frontFinal;
@@ -332,8 +334,8 @@
   sendFinal(exchange, std::move(final));
 }
 
-void Front::logCall(const Exchange& exchange, const calls::Final& final) {
-  const bool answered = final.counted == calls::Class::answered;
+void Front::logCall(const Exchange& exchange, const calls::CallStatus& final) {
+  const bool answered = final.counted == calls::CallResult::answered;
   if (answered && !plan_->config.logCalls) return;
   log_.line(answered ? "grpc.call" : "grpc.call_failed",
             fmt::format("call={} route={} path={} status={} attempts={} ms={:.1f} backend={} from={}{}{}",
@@ -353,7 +355,7 @@
   const auto& config = plan_->config;
   bool known = false;
   for (const auto& route : config.routes) {
-    if (route.match.service != service || route.match.kind < calls::Match::Kind::service) continue;
+    if (route.match.service != service || route.match.kind < calls::RouteMatch::Kind::service) continue;
     known = true;
     const auto& pool = config.pools[route.pool];
     std::set<int> shardsServed;
@@ -367,7 +369,7 @@
 void Front::answerHealth(Exchange& exchange) {
   std::string body(exchange.call.request().kept(), '\0');
   exchange.call.request().read(0, body.data(), body.size());
-  const auto service = readHealthRequest(body);
+  const auto service = parseHealthRequest(body);
   if (!service) return fail(exchange, calls::Code::invalidArgument, "no HealthCheckRequest");
   const auto path = *calls::find(exchange.head, ":path");
   const bool watch = path.substr(path.rfind('/')) == "/Watch";
@@ -376,13 +378,13 @@
   const auto status = servingOf(*service);
   if (!watch && status == Serving::serviceUnknown)
     return fail(exchange, calls::Code::notFound, "unknown service");
-  exchange.response.append(writeHealthResponse(status));
+  exchange.response.append(serializeHealthResponse(status));
   exchange.headSent = true;
   if (watch) {
     watches_[&exchange] = {findExchange(*exchange.session, exchange.stream), *service, status};
   } else {
     ++counters_.statuses[0];
-    exchange.trailers = calls::writeStatus(calls::Code::ok, "", std::nullopt);
+    exchange.trailers = calls::makeStatusTrailers(calls::Code::ok, "", std::nullopt);
   }
   exchange.session->respond(exchange.stream, ownResponseHead(200, {}));
 }
@@ -392,7 +394,7 @@
     const auto status = servingOf(watch.service);
     if (status == watch.lastSent) continue;
     watch.lastSent = status;
-    exchange->response.append(writeHealthResponse(status));
+    exchange->response.append(serializeHealthResponse(status));
     if (exchange->session) exchange->session->resume(exchange->stream);
   }
 }
@@ -439,7 +441,8 @@
   const Nanos now = loop_.now();
   // A request that has been open for long is taken for a long-lived stream: it is not sent again, and the
   // lack of a response says nothing about the server.
-  while (!incompleteRequests_.empty() && now - incompleteRequests_.begin()->first > plan_->config.openAfter) {
+  while (!incompleteRequests_.empty() &&
+         now - incompleteRequests_.begin()->first > plan_->config.streamingAfter) {
     auto* exchange = incompleteRequests_.begin()->second;
     incompleteRequests_.erase(incompleteRequests_.begin());
     exchange->longOpen = true;
--- a/src/grpc/front.hpp
+++ b/src/grpc/front.hpp
@@ -27,13 +27,13 @@
   std::uint64_t floods = 0;      // connections ended with ENHANCE_YOUR_CALM
   std::uint64_t health = 0;      // health checks
   std::uint64_t cutAtDrain = 0;  // still open when the drain time had passed
-  std::array<std::uint64_t, calls::kCodes> statuses{};  // final statuses, by code
+  std::array<std::uint64_t, calls::kStatusCodeCount> statuses{};  // final statuses, by code
 };
 
 // One reading of the configuration, with its compiled routes. A call keeps the one under which it was
 // accepted.
 struct Plan {
-  config::Grpc config;
+  config::GrpcConfig config;
   calls::Routes routes;
 };
 
@@ -54,7 +54,7 @@
   bool quiet() const { return clients_.empty(); }
   Poco::Net::SocketAddress address() const { return listener_.address(); }
   const FrontCounters& counters() const { return counters_; }
-  const calls::Pressure& pressure() const { return pressure_; }
+  const calls::BufferBudget& pressure() const { return pressure_; }
   std::size_t connections() const { return clients_.size(); }
   std::size_t streams() const;
 
@@ -83,7 +83,8 @@
   void onData(http2::Session& session, http2::StreamId id, std::string_view bytes) override;
   void onEnd(http2::Session& session, http2::StreamId id, calls::Fields trailers) override;
   void onClosed(http2::Session& session, http2::StreamId id, std::uint32_t code) override;
-  http2::Pulled onPull(http2::Session& session, http2::StreamId id, char* to, std::size_t most) override;
+  http2::BodyRead onReadBody(http2::Session& session, http2::StreamId id, char* to,
+                             std::size_t most) override;
   void onGone(http2::Session& session, net::ConnectionEnd end) override;
   void onFlood(http2::Session& session, std::string_view what) override;
 
@@ -96,13 +97,13 @@
   // Ends an accepted call with an error of the broker's own.
   void fail(Exchange& exchange, calls::Code code, std::string_view message);
   // Writes the final status.
-  void sendFinal(Exchange& exchange, calls::Final final);
+  void sendFinal(Exchange& exchange, calls::CallStatus final);
   void answerHealth(Exchange& exchange);
   Serving servingOf(const std::string& service) const;
   void notifyWatches();
   // The client's stream, or its connection, has closed.
   void onClientLeft(Exchange& exchange);
-  void logCall(const Exchange& exchange, const calls::Final& final);
+  void logCall(const Exchange& exchange, const calls::CallStatus& final);
   // Commits long-open requests, ends the drain, and frees full buffers.
   void sweep();
   std::string nextId(const calls::Fields& head);
@@ -111,7 +112,7 @@
   broker::Log& log_;
   std::shared_ptr<const Plan> plan_;
   std::vector<Core*> cores_;  // by pool
-  calls::Pressure pressure_;
+  calls::BufferBudget pressure_;
   Poco::Net::ServerSocket listener_;
   std::unordered_map<http2::Session*, std::unique_ptr<Client>> clients_;
   std::map<Exchange*, Watch> watches_;
--- a/src/grpc/side.cpp
+++ b/src/grpc/grpc_service.cpp
@@ -1,4 +1,4 @@
-#include "grpc/side.hpp"
+#include "grpc/grpc_service.hpp"
 
 #include <fmt/format.h>
 
@@ -11,8 +11,8 @@
 // How often cores without a pool are checked for open calls.
 constexpr Nanos kCoreCheckIntervalNs = 200'000'000;
 
-std::shared_ptr<const Plan> makePlan(config::Grpc config) {
-  std::vector<calls::Match> matches;
+std::shared_ptr<const Plan> makePlan(config::GrpcConfig config) {
+  std::vector<calls::RouteMatch> matches;
   for (const auto& route : config.routes) matches.push_back(route.match);
   auto routes = calls::Routes::compile(matches);  // cannot fail: checked when the configuration was read
   return std::make_shared<const Plan>(Plan{std::move(config), std::get<calls::Routes>(std::move(routes))});
@@ -28,14 +28,14 @@
 
 }  // namespace
 
-Side::Side(net::Loop& loop, broker::Log& log, config::Grpc config)
+GrpcService::GrpcService(net::Loop& loop, broker::Log& log, config::GrpcConfig config)
     : loop_(loop), log_(log), plan_(makePlan(std::move(config))), front_(loop, log, plan_) {
   updateCores();
 }
 
-Side::~Side() { loop_.cancel(destroyTimer_); }
+GrpcService::~GrpcService() { loop_.cancel(destroyTimer_); }
 
-void Side::updateCores() {
+void GrpcService::updateCores() {
   const auto& config = plan_->config;
   std::map<std::string, Core*, std::less<>> next;
   std::vector<Core*> byPool;
@@ -58,7 +58,7 @@
   destroyIdleCores();
 }
 
-std::vector<std::string> Side::reload(config::Grpc newConfig) {
+std::vector<std::string> GrpcService::reload(config::GrpcConfig newConfig) {
   std::vector<std::string> keys;
   if (newConfig.listen != plan_->config.listen) {
     newConfig.listen = plan_->config.listen;
@@ -69,7 +69,7 @@
   return keys;
 }
 
-void Side::destroyIdleCores() {
+void GrpcService::destroyIdleCores() {
   loop_.cancel(destroyTimer_);
   const auto isCurrent = [&](const Core* core) {
     return std::any_of(currentCores_.begin(), currentCores_.end(),
@@ -88,19 +88,19 @@
     destroyTimer_ = loop_.after(kCoreCheckIntervalNs, [this] { destroyIdleCores(); });
 }
 
-std::size_t Side::open() const {
+std::size_t GrpcService::open() const {
   std::size_t sum = 0;
   for (const auto& core : cores_) sum += core->broker().open();
   return sum;
 }
 
-broker::Counters Side::counters() const {
+broker::Counters GrpcService::counters() const {
   auto sum = destroyedCounters_;
   for (const auto& core : cores_) sum += core->broker().counters();
   return sum;
 }
 
-std::string Side::print(const std::string& prefix) const {
+std::string GrpcService::print(const std::string& prefix) const {
   const auto& front = front_.counters();
   BackendCounters backend = destroyedBackendCounters_;
   std::size_t connections = 0;
@@ -135,7 +135,7 @@
   line("backend_cut_streams", backend.cutStreams);
   line("buffered_bytes", front_.pressure().held);
   line("buffered_bytes_peak", front_.pressure().peak);
-  for (int code = 0; code < calls::kCodes; ++code)
+  for (int code = 0; code < calls::kStatusCodeCount; ++code)
     line(fmt::format("status{{code={}}}", calls::nameOf(static_cast<calls::Code>(code))),
          front.statuses[static_cast<std::size_t>(code)]);
   return out;
--- a/src/grpc/side.hpp
+++ b/src/grpc/grpc_service.hpp
@@ -10,18 +10,18 @@
 
 namespace topazweir::grpc {
 
-class Side {
+class GrpcService {
  public:
-  Side(net::Loop& loop, broker::Log& log, config::Grpc config);
-  ~Side();
-  Side(const Side&) = delete;
-  Side& operator=(const Side&) = delete;
+  GrpcService(net::Loop& loop, broker::Log& log, config::GrpcConfig config);
+  ~GrpcService();
+  GrpcService(const GrpcService&) = delete;
+  GrpcService& operator=(const GrpcService&) = delete;
 
   // Applies a configuration to the calls that arrive from now on; open calls keep theirs. Returns the changed
   // keys that take effect only after a restart and keep their old values until then.
-  std::vector<std::string> reload(config::Grpc newConfig);
+  std::vector<std::string> reload(config::GrpcConfig newConfig);
 
-  const config::Grpc& config() const { return plan_->config; }
+  const config::GrpcConfig& config() const { return plan_->config; }
   Front& front() { return front_; }
   const Front& front() const { return front_; }
   // The oldest core.
--- a/src/grpc/health.cpp
+++ b/src/grpc/health.cpp
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-std::optional<std::string> readHealthRequest(std::string_view body) {
+std::optional<std::string> parseHealthRequest(std::string_view body) {
   if (body.size() < kPrefixBytes || body.front() != 0)
     return std::nullopt;  // compressed requests are not supported
   std::size_t length = 0;
@@ -58,7 +58,7 @@
   return service;
 }
 
-std::string writeHealthResponse(Serving status) {
+std::string serializeHealthResponse(Serving status) {
   const std::string prefix{'\0', '\0', '\0', '\0', '\2'};
   // Field 1 (status), a varint.
   return prefix + '\x08' + static_cast<char>(status);
--- a/src/grpc/health.hpp
+++ b/src/grpc/health.hpp
@@ -16,8 +16,8 @@
 
 // The service named in a body of one length-prefixed HealthCheckRequest; empty: the server as a whole. No
 // value: the body is malformed or compressed.
-std::optional<std::string> readHealthRequest(std::string_view body);
+std::optional<std::string> parseHealthRequest(std::string_view body);
 // A length-prefixed HealthCheckResponse.
-std::string writeHealthResponse(Serving status);
+std::string serializeHealthResponse(Serving status);
 
 }  // namespace topazweir::grpc
--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -92,7 +92,7 @@
                                   : Progress::more;
 }
 
-bool Parser::finishAtEnd() {
+bool Parser::finishAtEof() {
   if (stage_ == Stage::untilEnd) stage_ = Stage::done;
   return stage_ == Stage::done;
 }
@@ -129,7 +129,7 @@
   const auto firstSpace = text.find(' ');
   if (firstSpace == std::string_view::npos) return fail(400, "the start line is malformed");
   std::string_view version;
-  if (side_ == Side::request) {
+  if (side_ == MessageKind::request) {
     const auto secondSpace = text.find(' ', firstSpace + 1);
     if (secondSpace == std::string_view::npos || secondSpace == firstSpace + 1 ||
         !isToken(text.substr(0, firstSpace)))
@@ -200,14 +200,14 @@
     }
   }
   if (length && chunked) return fail(400, "Content-Length beside Transfer-Encoding");
-  if (side_ == Side::request && !hostSeen && !http10_) return fail(400, "Host is missing");
+  if (side_ == MessageKind::request && !hostSeen && !http10_) return fail(400, "Host is missing");
   keepAlive_ = !close && (!http10_ || keepAlive);
   if (length && *length > limits_.body) return fail(413, "the body is too long");
   remaining_ = length.value_or(0);
   const bool noBody = status_ == 204 || status_ == 304 || (status_ >= 100 && status_ < 200);
   if (chunked) {
     stage_ = Stage::chunkSize;
-  } else if (side_ == Side::response && !length && !noBody) {
+  } else if (side_ == MessageKind::response && !length && !noBody) {
     stage_ = Stage::untilEnd;
     keepAlive_ = false;
   } else {
@@ -316,7 +316,7 @@
   }
 }
 
-std::string writeHead(const Response& response, bool close) {
+std::string formatHead(const Response& response, bool close) {
   std::string out = "HTTP/1.1 " + std::to_string(response.status) + ' ';
   out += reason(response.status);
   out += "\r\nContent-Length: " + std::to_string(response.body.size());
--- a/src/http/message.hpp
+++ b/src/http/message.hpp
@@ -12,7 +12,7 @@
 namespace topazweir::http {
 
 // The kind of message that a parser reads.
-enum class Side { request, response };
+enum class MessageKind { request, response };
 
 // Size limits of a message, in bytes.
 struct Limits {
@@ -46,13 +46,13 @@
  public:
   enum class Progress { more, complete, fault };
 
-  explicit Parser(Side side, Limits limits = {}) : side_(side), limits_(limits) {}
+  explicit Parser(MessageKind side, Limits limits = {}) : side_(side), limits_(limits) {}
 
   // Parses what has been appended to the buffer since the last call.
   Progress parse(std::string& input);
   // Tells the parser that the connection has ended. This completes a response whose body extends to the end
   // of the connection. Returns whether the message is complete.
-  bool finishAtEnd();
+  bool finishAtEof();
   const Fault& fault() const { return fault_; }
   bool headSeen() const { return stage_ != Stage::head; }
   // Some of the body has been parsed, even if a fault followed.
@@ -88,7 +88,7 @@
   // bytes, which is a fault.
   std::optional<Span> findLine(const std::string& input, std::size_t from, std::size_t maxSize);
 
-  Side side_;
+  MessageKind side_;
   Limits limits_;
   Stage stage_ = Stage::head;
   Fault fault_;
@@ -117,7 +117,7 @@
 };
 
 // Formats the head of a response, with the Content-Length of its body. `close`: adds "Connection: close".
-std::string writeHead(const Response& response, bool close);
+std::string formatHead(const Response& response, bool close);
 // Formats nanoseconds as seconds with three decimals, for Retry-After. Rounds up to at least one millisecond.
 std::string seconds(std::int64_t nanos);
 
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -27,7 +27,7 @@
   // A configured port is shared with the process that this one replaces. A port chosen by the system must not
   // be shared, or it could be one that another process listens on.
   if (options_.inherited) {
-    listener_ = net::inheritedSocket(*options_.inherited);
+    listener_ = net::adoptInheritedSocket(*options_.inherited);
   } else {
     listener_.bind(options_.address, true, options_.address.port() != 0);
     listener_.listen(kListenBacklog);
@@ -113,7 +113,7 @@
   if (!oldest) return false;
   const auto connection = oldest->connection;
   // A request that arrived in the meantime is served: the loop does not report bytes that are read here.
-  if (connection->readMore()) {
+  if (connection->readAvailable()) {
     onData(*connection);
     return false;
   }
@@ -139,7 +139,7 @@
 void Server::serve(Client& client) {
   const auto connection = client.connection;  // keeps it alive: the handler may respond, which can end it
   while (client.exchange == 0 && !client.connection->input().empty()) {
-    if (connection->peerLeft()) return connection->end(net::ConnectionEnd::peerClosed);
+    if (connection->hasPeerClosed()) return connection->end(net::ConnectionEnd::peerClosed);
     switch (client.parser.parse(connection->input())) {
       case Parser::Progress::more:
         return;
@@ -163,30 +163,30 @@
   log_.line("http.bad_request",
             options_.name + " status=" + std::to_string(fault.status) + " " + std::string(fault.why));
   Response response{fault.status, "text/plain", std::string(fault.why) + "\n", {}};
-  auto head = writeHead(response, true);
+  auto head = formatHead(response, true);
   const auto connection = client.connection;
   connection->write(std::move(head), std::move(response.body));
-  closeGently(*connection);
+  closeGracefully(*connection);
   connection->input() = {};  // frees the memory, which may be much, while the connection lingers
 }
 
-void Server::respond(ExchangeNo exchange, const Response& response) {
+void Server::respond(ExchangeId exchange, const Response& response) {
   const auto found = exchanges_.find(exchange);
   if (found == exchanges_.end()) return;
   const auto at = clients_.find(found->second);
   exchanges_.erase(found);
   Client& client = at->second;
   const auto connection = client.connection;
-  // During a drain connections are closed only once the listener is closed or endWithAnswers() is on. Before
-  // that, the load balancer may have stopped sending new connections here while no other aggregator is up
-  // yet, and a client that has to reconnect would find no server.
+  // During a drain connections are closed only once the listener is closed or setCloseAfterResponse() is on.
+  // Before that, the load balancer may have stopped sending new connections here while no other aggregator is
+  // up yet, and a client that has to reconnect would find no server.
   const bool close = client.close || !listenerOpen_ || closeAfterResponse_;
-  connection->write(writeHead(response, close), response.body);
+  connection->write(formatHead(response, close), response.body);
   client.parser.next(connection->input());
   client.exchange = 0;
   client.since = loop_.now();
   client.requestBegun = !connection->input().empty();
-  if (close) return closeGently(*connection);
+  if (close) return closeGracefully(*connection);
   connection->resume();
   if (connection->input().empty()) return;
   // Pipelined requests are served from the loop, since this may be called from within serve().
@@ -198,8 +198,8 @@
   });
 }
 
-void Server::closeGently(net::Connection& connection) {
-  connection.closeGently();
+void Server::closeGracefully(net::Connection& connection) {
+  connection.closeGracefully();
   removeClient(connection);
 }
 
@@ -245,7 +245,8 @@
       overdue.push_back(client.connection);
   }
   for (const auto& connection : overdue) {
-    if (!serveOrReject(*connection) && !clients_.at(connection.get()).hasRequested) closeGently(*connection);
+    if (!serveOrReject(*connection) && !clients_.at(connection.get()).hasRequested)
+      closeGracefully(*connection);
   }
   const auto idleCloseThreshold =
       static_cast<std::size_t>(kIdleCloseLoadRatio * static_cast<double>(options_.mostConnections));
@@ -280,7 +281,7 @@
 }
 
 bool Server::serveOrReject(net::Connection& connection) {
-  connection.readMore();
+  connection.readAvailable();
   if (!connection.input().empty()) onData(connection);
   const auto at = clients_.find(&connection);
   if (at == clients_.end() || at->second.exchange != 0) return true;
@@ -289,12 +290,12 @@
   return true;
 }
 
-void Server::endUnfinished() {
+void Server::rejectUnfinished() {
   std::vector<std::shared_ptr<net::Connection>> withoutRequest;
   for (auto& [key, client] : clients_)
     if (client.exchange == 0) withoutRequest.push_back(client.connection);
   for (const auto& connection : withoutRequest) {
-    if (!serveOrReject(*connection)) closeGently(*connection);
+    if (!serveOrReject(*connection)) closeGracefully(*connection);
   }
 }
 
@@ -306,12 +307,12 @@
       idle.push_back(client.connection);
   for (const auto& connection : idle) {
     // A request that has arrived, even if not read yet, is served before the connection is closed.
-    connection->readMore();
+    connection->readAvailable();
     if (clients_.find(connection.get()) == clients_.end()) continue;
     if (!connection->input().empty()) {
       onData(*connection);
     } else {
-      closeGently(*connection);
+      closeGracefully(*connection);
     }
   }
 }
