--- a/src/http/server.hpp
+++ b/src/http/server.hpp
@@ -20,15 +20,15 @@
 class Server : private net::Connection::Owner {
  public:
   // Identifies a request and its response; never 0.
-  using ExchangeNo = std::uint64_t;
+  using ExchangeId = std::uint64_t;
 
   class Handler {
    public:
     virtual ~Handler() = default;
     // A request has arrived in full. It is answered by respond(), from within this call or later.
-    virtual void onRequest(ExchangeNo exchange, const Head& head, std::string_view body) = 0;
+    virtual void onRequest(ExchangeId exchange, const Head& head, std::string_view body) = 0;
     // The client has disconnected before the response; respond() no longer has any effect.
-    virtual void onGone(ExchangeNo exchange) = 0;
+    virtual void onGone(ExchangeId exchange) = 0;
   };
 
   struct Options {
@@ -52,22 +52,22 @@
   ~Server() override;
 
   // Sends the response of an exchange; ignored if the client has disconnected.
-  void respond(ExchangeNo exchange, const Response& response);
+  void respond(ExchangeId exchange, const Response& response);
   // Changes the maximum number of connections; no connection is closed by this call.
   void limit(std::size_t mostConnections) { options_.mostConnections = mostConnections; }
   void startAccepting();
   // Whether each connection is closed after its next response. The listener stays open.
-  void endWithAnswers(bool on) { closeAfterResponse_ = on; }
+  void setCloseAfterResponse(bool on) { closeAfterResponse_ = on; }
   // Whether each sweep closes the idle connections and those without a request that are past the grace period
   // of new ones. The listener stays open.
-  void endIdle(bool on) { closeIdle_ = on; }
+  void setCloseIdle(bool on) { closeIdle_ = on; }
   // Closes the listener. Pending connections are accepted first, unless another process shares the listener
   // and accepts them.
   void stopListening(bool shared = false);
   // Starts the graceful shutdown: closes the listener, and each connection once it has no open exchange.
   void stopAccepting();
   // After stopAccepting(): rejects requests that have not arrived in full and closes idle connections.
-  void endUnfinished();
+  void rejectUnfinished();
   // After stopAccepting(): true once every response has been written in full and read by its client, or the
   // linger timeout of its connection has expired.
   bool quiet() const;
@@ -77,8 +77,8 @@
  private:
   struct Client {
     std::shared_ptr<net::Connection> connection;
-    Parser parser{Side::request};
-    ExchangeNo exchange = 0;    // the open exchange; 0: none
+    Parser parser{MessageKind::request};
+    ExchangeId exchange = 0;    // the open exchange; 0: none
     bool close = false;         // close after the open exchange
     bool hasRequested = false;  // at least one request has arrived in full
     bool requestBegun = false;  // the first byte of the next request has arrived
@@ -98,7 +98,7 @@
   // Serves a request that has arrived in full and rejects one that has not. Returns false if nothing has
   // arrived.
   bool serveOrReject(net::Connection& connection);
-  void closeGently(net::Connection& connection);
+  void closeGracefully(net::Connection& connection);
   void sweep();
   bool freeConnection();
   bool closeLongestIdle(Nanos minIdleTime, bool includeWithoutRequest);
@@ -112,10 +112,10 @@
   Poco::Net::ServerSocket listener_;
   net::Loop::TimerId sweepTimer_;
   std::map<net::Connection*, Client> clients_;
-  std::map<ExchangeNo, net::Connection*> exchanges_;
+  std::map<ExchangeId, net::Connection*> exchanges_;
   // Connections that have been answered and linger until their clients have read the answer.
   std::vector<std::weak_ptr<net::Connection>> closing_;
-  ExchangeNo lastExchange_ = 0;
+  ExchangeId lastExchange_ = 0;
   bool watchingListener_ = false;  // registered with the loop for new connections
   bool listenerOpen_ = true;
   bool accepts_ = true;
--- a/src/http2/guard.hpp
+++ b/src/http2/flood_guard.hpp
@@ -13,7 +13,7 @@
 namespace topazweir::http2 {
 
 // The leaky buckets of one connection.
-class Guard {
+class FloodGuard {
  public:
   // The kinds of frames that are limited; the position in kBuckets.
   enum class Cost : std::size_t { reset, settings, ping, emptyData, priority };
--- a/src/http2/session.cpp
+++ b/src/http2/session.cpp
@@ -92,16 +92,17 @@
         if (end) session.handler_.onEnd(session, id, {});
         break;
       case NGHTTP2_RST_STREAM:
-        session.countFrame(Guard::Cost::reset, "resets");
+        session.countFrame(FloodGuard::Cost::reset, "resets");
         break;
       case NGHTTP2_SETTINGS:
-        if ((frame->hd.flags & NGHTTP2_FLAG_ACK) == 0) session.countFrame(Guard::Cost::settings, "SETTINGS");
+        if ((frame->hd.flags & NGHTTP2_FLAG_ACK) == 0)
+          session.countFrame(FloodGuard::Cost::settings, "SETTINGS");
         break;
       case NGHTTP2_PING:
-        if ((frame->hd.flags & NGHTTP2_FLAG_ACK) == 0) session.countFrame(Guard::Cost::ping, "PING");
+        if ((frame->hd.flags & NGHTTP2_FLAG_ACK) == 0) session.countFrame(FloodGuard::Cost::ping, "PING");
         break;
       case NGHTTP2_PRIORITY:
-        session.countFrame(Guard::Cost::priority, "PRIORITY");
+        session.countFrame(FloodGuard::Cost::priority, "PRIORITY");
         break;
       case NGHTTP2_GOAWAY:
         session.exhausted_ = true;
@@ -111,7 +112,7 @@
         break;
     }
     if (frame->hd.type == NGHTTP2_DATA && frame->hd.length == 0 && !end)
-      session.countFrame(Guard::Cost::emptyData, "empty DATA");
+      session.countFrame(FloodGuard::Cost::emptyData, "empty DATA");
     return 0;
   }
 
@@ -158,15 +159,15 @@
   static ssize_t readBody(nghttp2_session* codec, std::int32_t id, std::uint8_t* to, std::size_t most,
                           std::uint32_t* flags, nghttp2_data_source*, void* user) {
     auto& session = self(user);
-    const auto pulled = session.handler_.onPull(session, id, reinterpret_cast<char*>(to), most);
-    if (pulled.then == Pulled::Then::end || pulled.then == Pulled::Then::trailers)
+    const auto pulled = session.handler_.onReadBody(session, id, reinterpret_cast<char*>(to), most);
+    if (pulled.then == BodyRead::Then::end || pulled.then == BodyRead::Then::trailers)
       *flags |= NGHTTP2_DATA_FLAG_EOF;
-    if (pulled.then == Pulled::Then::trailers) {
+    if (pulled.then == BodyRead::Then::trailers) {
       *flags |= NGHTTP2_DATA_FLAG_NO_END_STREAM;
       const auto fields = toNghttp2(pulled.last);
       nghttp2_submit_trailer(codec, id, fields.data(), fields.size());
     }
-    if (pulled.size == 0 && pulled.then == Pulled::Then::wait) return NGHTTP2_ERR_DEFERRED;
+    if (pulled.size == 0 && pulled.then == BodyRead::Then::wait) return NGHTTP2_ERR_DEFERRED;
     return static_cast<ssize_t>(pulled.size);
   }
 
@@ -259,7 +260,7 @@
   if (headFarOverLimit_) return terminateForAbuse("header list far over the limit");
   if (consumed == NGHTTP2_ERR_FLOODED) return terminateForAbuse("frames that require a reply");
   if (consumed == NGHTTP2_ERR_TOO_MANY_CONTINUATIONS) return terminateForAbuse("CONTINUATION frames");
-  if (consumed < 0) return connection.end(net::ConnectionEnd::badPeer);
+  if (consumed < 0) return connection.end(net::ConnectionEnd::protocolError);
   connection.resume();
   scheduleFlush();
 }
@@ -285,7 +286,7 @@
 
 void Session::onEnd(net::Connection&, net::ConnectionEnd end) { handler_.onGone(*this, end); }
 
-void Session::countFrame(Guard::Cost cost, std::string_view what) {
+void Session::countFrame(FloodGuard::Cost cost, std::string_view what) {
   if (guard_.allow(cost, loop_.now()) || std::exchange(floodReported_, true)) return;
   // Deferred, since the codec is in one of its callbacks: terminating the session there would drop the rest
   // of this input.
@@ -301,7 +302,7 @@
   nghttp2_session_terminate_session(session_, NGHTTP2_ENHANCE_YOUR_CALM);
   loop_.cancel(shutdownTimer_);  // a peer that reads nothing must not keep the connection open
   shutdownTimer_ =
-      loop_.after(kTerminateTimeoutNs, [this] { connection_->end(net::ConnectionEnd::badPeer); });
+      loop_.after(kTerminateTimeoutNs, [this] { connection_->end(net::ConnectionEnd::protocolError); });
   flush();
 }
 
@@ -329,13 +330,14 @@
   }
   flushing_ = false;
   if (!out.empty()) connection_->write(std::move(out));
-  if (size < 0) return connection_->end(net::ConnectionEnd::badPeer);
+  if (size < 0) return connection_->end(net::ConnectionEnd::protocolError);
   // Stopped at kMaxQueuedBytes, and the socket took all of it at once: no onFlushed will follow.
   if (size > 0 && connection_->flushed()) scheduleFlush();
   if (nghttp2_session_want_read(session_) != 0 || nghttp2_session_want_write(session_) != 0) return;
   // Nothing is left to read or write: both sides have finished, or the codec has terminated the session.
-  connection_->closeGently();
-  handler_.onGone(*this, terminating_ ? net::ConnectionEnd::badPeer : net::ConnectionEnd::closedHere);
+  connection_->closeGracefully();
+  handler_.onGone(*this,
+                  terminating_ ? net::ConnectionEnd::protocolError : net::ConnectionEnd::closedLocally);
 }
 
 void Session::checkKeepalive() {
--- a/src/http2/session.hpp
+++ b/src/http2/session.hpp
@@ -16,7 +16,7 @@
 #include <string_view>
 
 #include "calls/metadata.hpp"
-#include "http2/guard.hpp"
+#include "http2/flood_guard.hpp"
 #include "net/connection.hpp"
 
 namespace topazweir::http2 {
@@ -41,8 +41,8 @@
   Nanos keepalive = 0;
 };
 
-// What Handler::onPull has written, and what follows on the stream.
-struct Pulled {
+// What Handler::onReadBody has written, and what follows on the stream.
+struct BodyRead {
   std::size_t size = 0;  // bytes written
   // more: call again when there is room; wait: only after resume(); end: END_STREAM; trailers: the fields in
   // `last`, then END_STREAM.
@@ -67,7 +67,7 @@
     virtual void onClosed(Session&, StreamId stream, std::uint32_t code) = 0;
     virtual void onGoaway(Session&, StreamId /*last*/, std::uint32_t /*code*/) {}
     // Write at most `most` bytes of the body to `to`. Called only for streams that have a body.
-    virtual Pulled onPull(Session&, StreamId stream, char* to, std::size_t most) = 0;
+    virtual BodyRead onReadBody(Session&, StreamId stream, char* to, std::size_t most) = 0;
     // The connection has ended. No more events follow, not even onClosed for its streams. The session may be
     // destroyed after this call, but not within it.
     virtual void onGone(Session&, net::ConnectionEnd end) = 0;
@@ -92,7 +92,7 @@
   void respond(StreamId stream, const Fields& head);
   // Server: a response of header fields alone (gRPC: Trailers-Only).
   void respondHeadersOnly(StreamId stream, const Fields& head);
-  // There is output again for a stream whose last onPull returned Pulled::Then::wait.
+  // There is output again for a stream whose last onReadBody returned Pulled::Then::wait.
   void resume(StreamId stream);
   // Sends RST_STREAM.
   void reset(StreamId stream, std::uint32_t code);
@@ -134,7 +134,7 @@
   // A complete block of header fields has been received: of a request, a response, or trailers.
   void onHeaderBlock(StreamId stream, bool end);
   // Counts a frame against the guard. `what`: its kind, for the log.
-  void countFrame(Guard::Cost cost, std::string_view what);
+  void countFrame(FloodGuard::Cost cost, std::string_view what);
 
   struct Callbacks;
   struct Stream {
@@ -150,7 +150,7 @@
   Role role_;
   Limits limits_;
   Handler& handler_;
-  Guard guard_;
+  FloodGuard guard_;
   std::shared_ptr<net::Connection> connection_;
   nghttp2_session* session_ = nullptr;
   std::map<StreamId, Stream> streams_;
--- a/src/lab/deployed_settings.hpp
+++ b/src/lab/deployed_settings.hpp
@@ -14,16 +14,16 @@
   settings.aggregators = aggregators;
   settings.tick = 1 * kMs;
   settings.maxAttempts = 4;
-  settings.secondCopies = true;
+  settings.hedging = true;
   settings.cancelling = true;
   settings.retryAfter = true;
   settings.maxRetryAfter = 2 * kSec;
   settings.answerSlack = 5 * kMs;
   settings.drainGrace = 500 * kMs;
-  settings.coldFrom = 0.22;
-  settings.coldFor = 17 * kSec;
-  settings.tipMultiple = 4;
-  settings.tipWindow = 2 * kSec;
+  settings.coldCapacityShare = 0.22;
+  settings.warmUpTime = 17 * kSec;
+  settings.overloadMultiple = 4;
+  settings.overloadWindow = 2 * kSec;
   return settings;
 }
 
--- a/src/lab/virtual_changes.hpp
+++ b/src/lab/dissemination_simulation.hpp
@@ -17,7 +17,7 @@
 namespace topazweir::lab {
 
 // Members are numbered from 0 and named "m<i>".
-class VirtualChanges {
+class DisseminationSimulation {
  public:
   using Disseminator = dissemination::Disseminator;
   static constexpr Nanos kMs = 1'000'000;
@@ -30,8 +30,8 @@
     int zones = 1;                     // members are assigned to zones round-robin
     dissemination::Settings settings;  // for all members; name, zone, voters and seed are set here
     Nanos tickInterval = 100 * kMs;
-    Nanos viewLag = 3 * kSec;  // maximum from a start or crash until a member sees it
-    Nanos viewLeast = 0;       // the minimum
+    Nanos maxViewLag = 3 * kSec;  // maximum from a start or crash until a member sees it
+    Nanos minViewLag = 0;         // the minimum
     // One-way latency of a message. Within a region: 1 ms and a random part below `regionLatency`.
     Nanos regionLatency = 20 * kMs;
     Nanos minCrossRegionLatency = 40 * kMs;
@@ -59,14 +59,14 @@
     std::vector<std::uint64_t> sentInSecond = std::vector<std::uint64_t>(60, 0);  // by second % 60
     Nanos currentSecond = 0;
     std::uint64_t sentInMinute = 0;
-    std::uint64_t worstMinute = 0;  // the largest sentInMinute
+    std::uint64_t maxBytesInMinute = 0;  // the largest sentInMinute
     std::uint64_t sentBytes = 0;
     std::uint64_t sentInTick = 0;
-    std::uint64_t worstTick = 0;  // the largest sentInTick
+    std::uint64_t maxBytesInTick = 0;  // the largest sentInTick
     Nanos currentTick = 0;
   };
 
-  explicit VirtualChanges(Options options) : options_(std::move(options)), random_(options_.seed) {
+  explicit DisseminationSimulation(Options options) : options_(std::move(options)), random_(options_.seed) {
     auto& s = options_.settings;
     for (int i = 0; i < options_.voters; ++i) s.voters.push_back(nameOf(i));
     for (int i = 0; i < options_.members; ++i) {
@@ -106,20 +106,21 @@
       feed(i, true);
     }
     tick(i, m.token);
-    if (updateViews) viewChanged();
+    if (updateViews) updateAllViews();
     if (updateViews) tell(i);
   }
   void kill(int i) { kill(std::vector<int>{i}); }
   void kill(const std::vector<int>& several) {
     for (const int i : several) at(i).up = false;
-    viewChanged();
+    updateAllViews();
   }
   // The process stops for `time`; messages to it wait.
   void stall(int i, Nanos time) { at(i).stalledUntil = std::max(at(i).stalledUntil, now + time); }
   // Updates the view of each member, each after its own random lag.
-  void viewChanged() {
+  void updateAllViews() {
     for (int i = 0; i < options_.members; ++i)
-      after(options_.viewLeast + draw(options_.viewLag - options_.viewLeast) + kMs, [this, i] { tell(i); });
+      after(options_.minViewLag + draw(options_.maxViewLag - options_.minViewLag) + kMs,
+            [this, i] { tell(i); });
   }
   // Gives member i its present view.
   void tell(int i) {
@@ -319,7 +320,7 @@
     }
     m.sentInSecond[static_cast<std::size_t>(second % 60)] += bytes;
     m.sentInMinute += bytes;
-    m.worstMinute = std::max(m.worstMinute, m.sentInMinute);
+    m.maxBytesInMinute = std::max(m.maxBytesInMinute, m.sentInMinute);
     m.sentBytes += bytes;
     const Nanos tick = now / (100 * kMs);
     if (tick != m.currentTick) {
@@ -327,7 +328,7 @@
       m.sentInTick = 0;
     }
     m.sentInTick += bytes;
-    m.worstTick = std::max(m.worstTick, m.sentInTick);
+    m.maxBytesInTick = std::max(m.maxBytesInTick, m.sentInTick);
   }
   // Sends what a disseminator returned, with the faults of the simulated network.
   void sendAll(int i, std::vector<dissemination::Out> out) {
--- a/src/lab/grpc_stand_in.cpp
+++ b/src/lab/fake_grpc.cpp
@@ -1,4 +1,4 @@
-#include "lab/grpc_stand_in.hpp"
+#include "lab/fake_grpc.hpp"
 
 #include <Poco/Observer.h>
 
@@ -15,8 +15,8 @@
 constexpr int kWindowBytes = 1024 * 1024;
 
 // Copies the next bytes of a text, at most `most`, and counts them in `sent`.
-http2::Pulled copyNext(const std::string& text, std::size_t& sent, char* to, std::size_t most) {
-  http2::Pulled out;
+http2::BodyRead copyNext(const std::string& text, std::size_t& sent, char* to, std::size_t most) {
+  http2::BodyRead out;
   out.size = std::min(most, text.size() - sent);
   std::memcpy(to, text.data() + sent, out.size);
   sent += out.size;
@@ -34,18 +34,18 @@
   return out + body;
 }
 
-GrpcStandIn::GrpcStandIn(net::Loop& loop, std::string name) : loop_(loop), name_(std::move(name)) {
+FakeGrpcServer::FakeGrpcServer(net::Loop& loop, std::string name) : loop_(loop), name_(std::move(name)) {
   listener_.bind(Poco::Net::SocketAddress("127.0.0.1", 0), true, false);
   listener_.listen();
   listener_.setBlocking(false);
-  loop_.addEventHandler(listener_, Poco::Observer(*this, &GrpcStandIn::onAccept));
+  loop_.addEventHandler(listener_, Poco::Observer(*this, &FakeGrpcServer::onAccept));
 }
 
-GrpcStandIn::~GrpcStandIn() {
-  loop_.removeEventHandler(listener_, Poco::Observer(*this, &GrpcStandIn::onAccept));
+FakeGrpcServer::~FakeGrpcServer() {
+  loop_.removeEventHandler(listener_, Poco::Observer(*this, &FakeGrpcServer::onAccept));
 }
 
-void GrpcStandIn::onAccept(Poco::Net::ReadableNotification* event) {
+void FakeGrpcServer::onAccept(Poco::Net::ReadableNotification* event) {
   event->release();
   auto peer = std::make_unique<Peer>();
   http2::Limits limits;
@@ -55,14 +55,14 @@
   peers_[peer->session.get()] = std::move(peer);
 }
 
-GrpcStandIn::Call* GrpcStandIn::find(http2::Session& session, http2::StreamId id) {
+FakeGrpcServer::Call* FakeGrpcServer::find(http2::Session& session, http2::StreamId id) {
   const auto peer = peers_.find(&session);
   if (peer == peers_.end()) return nullptr;
   const auto at = peer->second->calls.find(id);
   return at == peer->second->calls.end() ? nullptr : &at->second;
 }
 
-void GrpcStandIn::onHead(http2::Session& session, http2::StreamId id, calls::Fields head, bool end) {
+void FakeGrpcServer::onHead(http2::Session& session, http2::StreamId id, calls::Fields head, bool end) {
   ++calls_;
   auto& call = peers_.at(&session)->calls[id];
   if (const auto bytes = calls::find(head, "x-bytes"))
@@ -72,7 +72,7 @@
   if (end) onEnd(session, id, {});
 }
 
-void GrpcStandIn::onData(http2::Session& session, http2::StreamId id, std::string_view bytes) {
+void FakeGrpcServer::onData(http2::Session& session, http2::StreamId id, std::string_view bytes) {
   if (auto* call = find(session, id)) {
     call->body.append(bytes);
     if (call->open) session.resume(id);
@@ -80,7 +80,7 @@
   session.consume(id, bytes.size());
 }
 
-void GrpcStandIn::onEnd(http2::Session& session, http2::StreamId id, calls::Fields) {
+void FakeGrpcServer::onEnd(http2::Session& session, http2::StreamId id, calls::Fields) {
   if (auto* call = find(session, id)) {
     call->ended = true;
     if (call->open) return session.resume(id);
@@ -91,14 +91,15 @@
   delay > 0 ? static_cast<void>(loop_.after(delay, answer)) : answer();
 }
 
-void GrpcStandIn::onClosed(http2::Session& session, http2::StreamId id, std::uint32_t) {
+void FakeGrpcServer::onClosed(http2::Session& session, http2::StreamId id, std::uint32_t) {
   if (const auto peer = peers_.find(&session); peer != peers_.end()) peer->second->calls.erase(id);
 }
 
-http2::Pulled GrpcStandIn::onPull(http2::Session& session, http2::StreamId id, char* to, std::size_t most) {
+http2::BodyRead FakeGrpcServer::onReadBody(http2::Session& session, http2::StreamId id, char* to,
+                                           std::size_t most) {
   auto* call = find(session, id);
-  if (!call) return {0, http2::Pulled::Then::end, {}};
-  http2::Pulled out;
+  if (!call) return {0, http2::BodyRead::Then::end, {}};
+  http2::BodyRead out;
   if (call->zeros > 0) {
     // `zeros` is the rest of a whole number of messages, which gives the position within the present one.
     const auto at = static_cast<std::size_t>((kZeroMessage.size() - call->zeros % kZeroMessage.size()) %
@@ -111,16 +112,16 @@
     out = copyNext(call->body, call->sent, to, most);
     if (call->sent < call->body.size()) return out;
     if (!call->ended) {
-      out.then = http2::Pulled::Then::wait;
+      out.then = http2::BodyRead::Then::wait;
       return out;
     }
   }
-  out.then = http2::Pulled::Then::trailers;
+  out.then = http2::BodyRead::Then::trailers;
   out.last = {{"grpc-status", "0"}, {"x-server", name_}};
   return out;
 }
 
-void GrpcStandIn::onGone(http2::Session& session, net::ConnectionEnd) {
+void FakeGrpcServer::onGone(http2::Session& session, net::ConnectionEnd) {
   const auto at = peers_.find(&session);
   if (at == peers_.end()) return;
   // The session calls this: it must outlive the call.
@@ -129,12 +130,12 @@
   loop_.soon([peer] {});
 }
 
-GrpcClient::GrpcClient(net::Loop& loop, const std::string& address) : loop_(loop), address_(address) {
+FakeGrpcClient::FakeGrpcClient(net::Loop& loop, const std::string& address) : loop_(loop), address_(address) {
   session_ = http2::Session::connect(loop, Poco::Net::SocketAddress(address), kConnectTimeout, {}, *this);
 }
 
-void GrpcClient::call(const std::string& path, const std::string& body, const calls::Fields& metadata,
-                      Done done) {
+void FakeGrpcClient::call(const std::string& path, const std::string& body, const calls::Fields& metadata,
+                          Done done) {
   calls::Fields head = {{":method", "POST"},
                         {":scheme", "http"},
                         {":path", path},
@@ -147,37 +148,39 @@
   openCalls_[id] = {lengthPrefixed(body), {}, 0, loop_.now(), std::move(done)};
 }
 
-http2::Pulled GrpcClient::onPull(http2::Session&, http2::StreamId id, char* to, std::size_t most) {
+http2::BodyRead FakeGrpcClient::onReadBody(http2::Session&, http2::StreamId id, char* to, std::size_t most) {
   const auto at = openCalls_.find(id);
-  if (at == openCalls_.end()) return {0, http2::Pulled::Then::end, {}};
+  if (at == openCalls_.end()) return {0, http2::BodyRead::Then::end, {}};
   auto out = copyNext(at->second.request, at->second.sent, to, most);
-  if (at->second.sent == at->second.request.size()) out.then = http2::Pulled::Then::end;
+  if (at->second.sent == at->second.request.size()) out.then = http2::BodyRead::Then::end;
   return out;
 }
 
-void GrpcClient::onHead(http2::Session&, http2::StreamId id, calls::Fields head, bool end) {
+void FakeGrpcClient::onHead(http2::Session&, http2::StreamId id, calls::Fields head, bool end) {
   if (end) finish(id, head);
 }
 
-void GrpcClient::onData(http2::Session& session, http2::StreamId id, std::string_view bytes) {
+void FakeGrpcClient::onData(http2::Session& session, http2::StreamId id, std::string_view bytes) {
   if (const auto at = openCalls_.find(id); at != openCalls_.end()) at->second.response.append(bytes);
   session.consume(id, bytes.size());
 }
 
-void GrpcClient::onEnd(http2::Session&, http2::StreamId id, calls::Fields trailers) { finish(id, trailers); }
-void GrpcClient::onClosed(http2::Session&, http2::StreamId id, std::uint32_t) { finish(id, {}); }
+void FakeGrpcClient::onEnd(http2::Session&, http2::StreamId id, calls::Fields trailers) {
+  finish(id, trailers);
+}
+void FakeGrpcClient::onClosed(http2::Session&, http2::StreamId id, std::uint32_t) { finish(id, {}); }
 
-void GrpcClient::onGone(http2::Session&, net::ConnectionEnd) {
+void FakeGrpcClient::onGone(http2::Session&, net::ConnectionEnd) {
   while (!openCalls_.empty()) finish(openCalls_.begin()->first, {});
 }
 
-void GrpcClient::finish(http2::StreamId id, const calls::Fields& trailers) {
+void FakeGrpcClient::finish(http2::StreamId id, const calls::Fields& trailers) {
   const auto at = openCalls_.find(id);
   if (at == openCalls_.end()) return;
   const OpenCall call = std::move(at->second);
   openCalls_.erase(at);
   Reply reply;
-  if (const auto code = calls::readCode(calls::find(trailers, "grpc-status").value_or("")))
+  if (const auto code = calls::parseStatusCode(calls::find(trailers, "grpc-status").value_or("")))
     reply.status = static_cast<int>(*code);
   reply.message = calls::find(trailers, "grpc-message").value_or("");
   reply.trailers = trailers;
--- a/src/lab/grpc_stand_in.hpp
+++ b/src/lab/fake_grpc.hpp
@@ -18,10 +18,10 @@
 // An echo server: returns the messages of each call, and its name in the trailer "x-server". Request metadata
 // can ask for another response. "x-bytes": that many zeros, rounded down to messages of 64 KiB, in place of
 // the echo. "x-open": the response starts at once, echoes as data arrives and ends with the request.
-class GrpcStandIn : private http2::Session::Handler {
+class FakeGrpcServer : private http2::Session::Handler {
  public:
-  GrpcStandIn(net::Loop& loop, std::string name);
-  ~GrpcStandIn() override;
+  FakeGrpcServer(net::Loop& loop, std::string name);
+  ~FakeGrpcServer() override;
   std::string address() const { return listener_.address().toString(); }
   std::uint64_t calls() const { return calls_; }
   Nanos delay = 0;  // from the end of a request to its response
@@ -43,7 +43,8 @@
   void onData(http2::Session& session, http2::StreamId id, std::string_view bytes) override;
   void onEnd(http2::Session& session, http2::StreamId id, calls::Fields trailers) override;
   void onClosed(http2::Session& session, http2::StreamId id, std::uint32_t code) override;
-  http2::Pulled onPull(http2::Session& session, http2::StreamId id, char* to, std::size_t most) override;
+  http2::BodyRead onReadBody(http2::Session& session, http2::StreamId id, char* to,
+                             std::size_t most) override;
   void onGone(http2::Session& session, net::ConnectionEnd end) override;
   Call* find(http2::Session& session, http2::StreamId id);
 
@@ -55,7 +56,7 @@
 };
 
 // A client that makes unary calls over one connection.
-class GrpcClient : private http2::Session::Handler {
+class FakeGrpcClient : private http2::Session::Handler {
  public:
   struct Reply {
     int status = -1;      // grpc-status; negative: none was received
@@ -66,7 +67,7 @@
   };
   using Done = std::function<void(const Reply&)>;
 
-  GrpcClient(net::Loop& loop, const std::string& address);
+  FakeGrpcClient(net::Loop& loop, const std::string& address);
   // Calls `path` with the one message `body` (without its prefix). `done` is called exactly once, with a
   // status of -1 if the connection is lost.
   void call(const std::string& path, const std::string& body, const calls::Fields& metadata, Done done);
@@ -83,7 +84,8 @@
   void onData(http2::Session& session, http2::StreamId id, std::string_view bytes) override;
   void onEnd(http2::Session& session, http2::StreamId id, calls::Fields trailers) override;
   void onClosed(http2::Session& session, http2::StreamId id, std::uint32_t code) override;
-  http2::Pulled onPull(http2::Session& session, http2::StreamId id, char* to, std::size_t most) override;
+  http2::BodyRead onReadBody(http2::Session& session, http2::StreamId id, char* to,
+                             std::size_t most) override;
   void onGone(http2::Session& session, net::ConnectionEnd end) override;
   void finish(http2::StreamId id, const calls::Fields& trailers);
 
--- a/src/lab/stand_in.hpp
+++ b/src/lab/fake_server.hpp
@@ -21,20 +21,20 @@
 // What a fake server does wrong with each request.
 enum class Fault {
   none,
-  silent,      // never answers
-  cutHalfway,  // closes the connection after half of the response
-  rejects,     // answers that it is overloaded
-  errs,        // answers with an error
-  slow,        // answers after StandIn::kSlow
-  noise,       // sends bytes that do not parse
-  endless,     // starts a response and never completes it
-  extra,       // sends garbage after a good response
-  twice        // sends the response twice
+  silent,     // never answers
+  truncated,  // closes the connection after half of the response
+  rejects,    // answers that it is overloaded
+  errs,       // answers with an error
+  slow,       // answers after FakeServer::kSlow
+  noise,      // sends bytes that do not parse
+  endless,    // starts a response and never completes it
+  extra,      // sends garbage after a good response
+  twice       // sends the response twice
 };
 
 // The protocol of a fake server.
-struct Speaker {
-  virtual ~Speaker() = default;
+struct FakeProtocol {
+  virtual ~FakeProtocol() = default;
   // Consumes one request from the input and returns the response; nothing while the input holds no whole
   // request.
   virtual std::optional<std::string> reply(std::string& input, Fault fault) = 0;
@@ -49,22 +49,25 @@
 
 // A TCP server on a free loopback port that answers as `speaker` does, with the given fault. Lives on the
 // loop's thread.
-class StandIn : net::Connection::Owner {
+class FakeServer : net::Connection::Owner {
  public:
-  StandIn(net::Loop& loop, Speaker& speaker, Fault fault) : loop_(loop), speaker_(speaker), fault_(fault) {
+  FakeServer(net::Loop& loop, FakeProtocol& speaker, Fault fault)
+      : loop_(loop), speaker_(speaker), fault_(fault) {
     listener_.bind(Poco::Net::SocketAddress("127.0.0.1", 0), true, false);
     listener_.listen();
     listener_.setBlocking(false);
     loop_.addEventHandler(listener_, observer());
   }
-  ~StandIn() override { loop_.removeEventHandler(listener_, observer()); }
+  ~FakeServer() override { loop_.removeEventHandler(listener_, observer()); }
   std::string address() const { return listener_.address().toString(); }
   Fault& fault() { return fault_; }  // may be changed at any time
   int requests() const { return requests_; }
 
  private:
   static constexpr Nanos kSlow = 300'000'000;  // delay of Fault::slow
-  Poco::Observer<StandIn, Poco::Net::ReadableNotification> observer() { return {*this, &StandIn::onAccept}; }
+  Poco::Observer<FakeServer, Poco::Net::ReadableNotification> observer() {
+    return {*this, &FakeServer::onAccept};
+  }
   void onAccept(Poco::Net::ReadableNotification* event) {
     event->release();
     auto connection = net::Connection::adopt(loop_, listener_.acceptConnection(), *this);
@@ -75,7 +78,7 @@
       ++requests_;
       const auto self = connections_.at(&c);
       if (fault_ == Fault::silent) continue;
-      if (fault_ == Fault::cutHalfway) {
+      if (fault_ == Fault::truncated) {
         c.write(reply->substr(0, reply->size() / 2));
         c.close();
         connections_.erase(&c);
@@ -88,7 +91,7 @@
   void onEnd(net::Connection& c, net::ConnectionEnd) override { connections_.erase(&c); }
 
   net::Loop& loop_;
-  Speaker& speaker_;
+  FakeProtocol& speaker_;
   Fault fault_;
   Poco::Net::ServerSocket listener_;
   std::map<net::Connection*, std::shared_ptr<net::Connection>> connections_;
@@ -96,7 +99,7 @@
 };
 
 // A node of the platform protocol: answers each send frame and skips all others.
-struct NodeSpeaker : Speaker {
+struct FakeNode : FakeProtocol {
   // A complete answer frame. Its load report is malformed, which must not affect the answer.
   static std::string answer(const std::string& partId, const std::string& end = "done") {
     const std::string body = "R" + partId + " " + end + " 7 \xff,= ?\nvalue";
@@ -122,18 +125,18 @@
 
 inline std::string httpReply(int status, const std::string& body) {
   const http::Response response{status, "application/geo+json", body, {}};
-  return http::writeHead(response, false) + body;
+  return http::formatHead(response, false) + body;
 }
 
 // A server of OGC API Features with two pages of one feature each. The target of the second contains
 // "page=2".
-struct FeatureSpeaker : Speaker {
+struct FakeFeatures : FakeProtocol {
   std::string next = "/collections/branches/items?page=2";  // link to the second page; empty: no link
   std::string second = R"({"type":"FeatureCollection","features":[{"type":"Feature","id":"b"}]})";
-  bool cutSecond = false;  // the second page is truncated
+  bool truncateSecond = false;  // the second page is truncated
 
   std::optional<std::string> reply(std::string& input, Fault fault) override {
-    http::Parser parser(http::Side::request);
+    http::Parser parser(http::MessageKind::request);
     if (parser.parse(input) != http::Parser::Progress::complete) return std::nullopt;
     const std::string target(parser.head(input).target);
     parser.next(input);
@@ -152,7 +155,7 @@
       return target.find("/items/b") != std::string::npos ? httpReply(200, R"({"type":"Feature","id":"b"})")
                                                           : httpReply(404, "");
     if (target.find("page=2") != std::string::npos) {
-      if (!cutSecond) return httpReply(200, second);
+      if (!truncateSecond) return httpReply(200, second);
       return "HTTP/1.1 200 OK\r\nContent-Length: 500\r\nConnection: close\r\n\r\n{\"type\":";
     }
     const std::string link = next.empty() ? "" : R"(,"links":[{"rel":"next","href":")" + next + R"("}])";
@@ -162,10 +165,10 @@
 };
 
 // A discovery agent: answers each watch with one server list and leaves the response open.
-struct AgentSpeaker : Speaker {
+struct FakeDiscoveryAgent : FakeProtocol {
   std::string list;  // JSON, one line
   std::optional<std::string> reply(std::string& input, Fault) override {
-    http::Parser parser(http::Side::request);
+    http::Parser parser(http::MessageKind::request);
     if (parser.parse(input) != http::Parser::Progress::complete) return std::nullopt;
     parser.next(input);
     std::array<char, 16> size{};
@@ -215,7 +218,7 @@
   net::Loop& loop_;
   std::string request_;
   Nanos startedAt_;
-  http::Parser parser_{http::Side::response};
+  http::Parser parser_{http::MessageKind::response};
   std::shared_ptr<net::Connection> connection_;
   bool done_ = false;
 };
--- a/src/lab/grpc_load.cpp
+++ b/src/lab/grpc_load.cpp
@@ -18,8 +18,8 @@
 
 #include "config/config.hpp"
 #include "config/reader.hpp"
-#include "lab/grpc_stand_in.hpp"
-#include "lab/stand_in.hpp"
+#include "lab/fake_grpc.hpp"
+#include "lab/fake_server.hpp"
 
 namespace {
 
@@ -45,7 +45,7 @@
   BackendThread()
       : thread_([this] {
           net::Loop loop;
-          lab::GrpcStandIn server(loop, "load");
+          lab::FakeGrpcServer server(loop, "load");
           address_.set_value(server.address());
           std::function<void()> checkStop = [&] {
             stop_ ? loop.stop() : static_cast<void>(loop.after(kStopCheckInterval, checkStop));
@@ -136,9 +136,9 @@
 // next call. Measures for `time`, after a warm-up of a fifth of it.
 Figures closedLoop(const std::string& address, int inFlight, std::size_t bytes, Nanos time) {
   net::Loop loop;
-  std::vector<std::unique_ptr<lab::GrpcClient>> clients;
+  std::vector<std::unique_ptr<lab::FakeGrpcClient>> clients;
   for (int i = 0; i < std::min(inFlight, kMaxClients); ++i)
-    clients.push_back(std::make_unique<lab::GrpcClient>(loop, address));
+    clients.push_back(std::make_unique<lab::FakeGrpcClient>(loop, address));
   const std::string body(bytes, 'b');
   std::vector<Nanos> latencies;
   latencies.reserve(1 << 20);
@@ -148,7 +148,7 @@
   int outstanding = 0;
   std::function<void(std::size_t)> next = [&](std::size_t client) {
     ++outstanding;
-    clients[client]->call("/lab.Load/Echo", body, {}, [&, client](const lab::GrpcClient::Reply& reply) {
+    clients[client]->call("/lab.Load/Echo", body, {}, [&, client](const lab::FakeGrpcClient::Reply& reply) {
       --outstanding;
       const Nanos now = loop.now();
       if (reply.status != 0 || reply.body.size() != bytes) ++out.failed;
@@ -220,8 +220,8 @@
     finish(calls::find(trailers, "grpc-status") == "0");
   }
   void onClosed(http2::Session&, http2::StreamId, std::uint32_t) override { finish(false); }
-  http2::Pulled onPull(http2::Session&, http2::StreamId, char*, std::size_t) override {
-    return {0, http2::Pulled::Then::end, {}};
+  http2::BodyRead onReadBody(http2::Session&, http2::StreamId, char*, std::size_t) override {
+    return {0, http2::BodyRead::Then::end, {}};
   }
   void onGone(http2::Session&, net::ConnectionEnd) override { finish(false); }
   void finish(bool ok) {
@@ -268,9 +268,9 @@
   void onEnd(http2::Session&, http2::StreamId, calls::Fields) override { ++closed; }
   void onClosed(http2::Session&, http2::StreamId, std::uint32_t) override { ++closed; }
   void onGone(http2::Session&, net::ConnectionEnd) override {}
-  http2::Pulled onPull(http2::Session& session, http2::StreamId id, char* to, std::size_t) override {
+  http2::BodyRead onReadBody(http2::Session& session, http2::StreamId id, char* to, std::size_t) override {
     auto& sent = sent_[{&session, id}];
-    http2::Pulled out{0, http2::Pulled::Then::wait, {}};
+    http2::BodyRead out{0, http2::BodyRead::Then::wait, {}};
     if (std::exchange(sent, true)) return out;
     const auto message = lab::lengthPrefixed("hello");
     std::copy(message.begin(), message.end(), to);
--- a/src/lab/membership_experiment.cpp
+++ b/src/lab/membership_experiment.cpp
@@ -8,13 +8,13 @@
 #include <cstdlib>
 
 #include "fleet/codec.hpp"
-#include "lab/virtual_fleet.hpp"
+#include "lab/membership_simulation.hpp"
 
 namespace topazweir::lab {
 namespace {
 
 using membership::State;
-constexpr Nanos kSec = VirtualFleet::kSec;
+constexpr Nanos kSec = MembershipSimulation::kSec;
 constexpr int kDetectionLimitSeconds = 120;  // longer detections are cut off and reported as this
 
 int brokenClaims = 0;
@@ -42,12 +42,12 @@
 DetectionTimes measureDetection(int members, int trials, std::uint64_t seed) {
   DetectionTimes out;
   for (int trial = 0; trial < trials; ++trial) {
-    VirtualFleet fleet(members, seed + static_cast<std::uint64_t>(trial));
+    MembershipSimulation fleet(members, seed + static_cast<std::uint64_t>(trial));
     const int victim = members / 2;
     std::vector<double> detectedAfter;
     const Nanos killedAt = fleet.now;
     fleet.onChange = [&](int, const membership::Change& change) {
-      if (change.record.name == VirtualFleet::name(victim) && change.record.state == State::failed)
+      if (change.record.name == MembershipSimulation::name(victim) && change.record.state == State::failed)
         detectedAfter.push_back(static_cast<double>(fleet.now - killedAt) / 1e9);
     };
     fleet.kill(victim);
@@ -77,7 +77,7 @@
 
 // Verdicts of failure on running members, per hour, in a fleet of 30. `stalled`: a tenth of the members
 // stalls for 5 s in every 30 s.
-double falseVerdicts(double loss, bool stalled, bool lifeguard, std::uint64_t seed) {
+double falseFailures(double loss, bool stalled, bool lifeguard, std::uint64_t seed) {
   constexpr int kMembers = 30;
   constexpr int kRuns = 3;
   constexpr Nanos kRunTime = 300 * kSec;
@@ -87,13 +87,13 @@
   for (int run = 0; run < kRuns; ++run) {
     membership::Settings settings;
     settings.lifeguard = lifeguard;
-    VirtualFleet fleet(kMembers, seed + static_cast<std::uint64_t>(run), settings);
+    MembershipSimulation fleet(kMembers, seed + static_cast<std::uint64_t>(run), settings);
     fleet.loss = loss;
     for (Nanos at = 0; at < kRunTime; at += kStallInterval) {
       for (int i = 0; stalled && i < kMembers; i += 10) fleet.stall(i, kStallTime);
       fleet.run(kStallInterval);
     }
-    sum += fleet.falseVerdicts;
+    sum += fleet.falseFailures;
   }
   return sum * 3600.0 / (kRuns * static_cast<double>(kRunTime) / 1e9);
 }
@@ -121,12 +121,12 @@
   fmt::print("{:<22} {:>14} {:>14} {:>11}\n", "", "with additions", "plain SWIM", "heartbeats");
   std::map<double, std::pair<double, double>> byLoss;  // with the additions to SWIM, without
   for (const double loss : {0.0, 0.05, 0.2, 0.3}) {
-    byLoss[loss] = {falseVerdicts(loss, false, true, seed), falseVerdicts(loss, false, false, seed)};
+    byLoss[loss] = {falseFailures(loss, false, true, seed), falseFailures(loss, false, false, seed)};
     fmt::print("{:<22} {:>14.0f} {:>14.0f} {:>11.0f}\n", fmt::format("{:.0f}% lost", loss * 100),
                byLoss[loss].first, byLoss[loss].second, heartbeatVerdicts(loss, periods, seed));
   }
-  const auto with = falseVerdicts(0, true, true, seed);
-  const auto without = falseVerdicts(0, true, false, seed);
+  const auto with = falseFailures(0, true, true, seed);
+  const auto without = falseFailures(0, true, false, seed);
   fmt::print("{:<22} {:>14.0f} {:>14.0f} {:>11}\n", "a tenth stalled 5 s", with, without, "-");
   claim(byLoss[0.0].first == 0 && byLoss[0.05].first == 0, "none without loss, nor at 5%");
   claim(3 * byLoss[0.3].first <= 2 * byLoss[0.3].second, "at 30% loss two thirds of plain SWIM's at most");
@@ -138,12 +138,12 @@
   fmt::print("{:>8} {:>10} {:>10} {:>16}\n", "members", "messages", "bytes", "heartbeats, msg.");
   std::map<int, double> messages;
   for (const int members : {10, 40, 300, 1000}) {
-    VirtualFleet fleet(members, seed);
+    MembershipSimulation fleet(members, seed);
     std::size_t count = 0;
     std::size_t bytes = 0;  // of datagrams
     fleet.onSend = [&](const membership::Out& out) {
       ++count;
-      if (!membership::byStream(out.message.kind)) bytes += fleet::encode(out.message, "fleet").size();
+      if (!membership::usesStream(out.message.kind)) bytes += fleet::encode(out.message, "fleet").size();
     };
     constexpr int kSeconds = 60;
     fleet.run(kSeconds * kSec);
@@ -160,7 +160,7 @@
   fmt::print("{:>8} {:>10}\n", "members", "seconds");
   double maxSeconds = 0;
   for (const int members : {10, 40, 300}) {
-    VirtualFleet fleet(members, seed);
+    MembershipSimulation fleet(members, seed);
     fleet.cut = [&](int a, int b) { return (5 * a < 2 * members) != (5 * b < 2 * members); };
     fleet.run(60 * kSec);
     fleet.cut = [](int, int) { return false; };
--- a/src/lab/virtual_fleet.hpp
+++ b/src/lab/membership_simulation.hpp
@@ -15,12 +15,12 @@
 namespace topazweir::lab {
 
 // Members are numbered from 0; member i has the name and address "m<i>".
-class VirtualFleet : public VirtualClock {
+class MembershipSimulation : public VirtualClock {
  public:
   using Detector = membership::Detector;
 
   // Starts all members and runs until each has exchanged its full view.
-  VirtualFleet(int members, std::uint64_t seed, membership::Settings settings = {})
+  MembershipSimulation(int members, std::uint64_t seed, membership::Settings settings = {})
       : settings_(settings), random_(seed) {
     for (int i = 0; i < members; ++i) start(i);
     run(kFirstExchange);
@@ -75,9 +75,9 @@
   std::function<bool(int, int)> cut = [](int, int) { return false; };  // (from, to): the link is blocked
   // Failures concluded from suspicion, of members that run, were not stalled in the last 15 s and are
   // reachable.
-  int falseVerdicts = 0;
-  std::size_t mostNews = 0;   // the largest number of updates in one datagram
-  std::size_t datagrams = 0;  // messages sent
+  int falseFailures = 0;
+  std::size_t maxUpdates = 0;  // the largest number of updates in one datagram
+  std::size_t datagrams = 0;   // messages sent
   // Called on each change of the view of `member`.
   std::function<void(int member, const membership::Change&)> onChange = [](int, const auto&) {};
   // Called on each message sent.
@@ -117,13 +117,14 @@
     for (const auto& change : step.changes) onChange(i, change);
     for (const auto& change : step.changes)
       for (const auto& [k, m] : members_)
-        falseVerdicts += change.record.state == membership::State::failed && change.cause[0] == 's' && m.up &&
+        falseFailures += change.record.state == membership::State::failed && change.cause[0] == 's' && m.up &&
                          name(k) == change.record.name && m.stalledUntil + kRecovery <= now && !cut(i, k) &&
                          !cut(k, i);
     for (auto& out : step.out) {
       ++datagrams;
       onSend(out);
-      if (out.message.kind < membership::Kind::sync) mostNews = std::max(mostNews, out.message.news.size());
+      if (out.message.kind < membership::Kind::sync)
+        maxUpdates = std::max(maxUpdates, out.message.news.size());
       const int to = std::stoi(out.to.substr(1));
       if (cut(i, to) || std::uniform_real_distribution<>(0, 1)(random_) < loss) continue;
       after(static_cast<Nanos>(1 + random_() % kMaxLatencyMs) * kMs,
--- a/src/lab/scale/connections.cpp
+++ b/src/lab/scale/connections.cpp
@@ -10,10 +10,10 @@
 #include <stdexcept>
 #include <string>
 
-#include "lab/scale/hollow.hpp"
-#include "lab/scale/report.hpp"
+#include "lab/fake_server.hpp"
+#include "lab/scale/claims.hpp"
+#include "lab/scale/hollow_members.hpp"
 #include "lab/scale/target.hpp"
-#include "lab/stand_in.hpp"
 #include "net/listener.hpp"
 #include "platform/node_pool.hpp"
 
@@ -68,7 +68,7 @@
   net::Loop& loop_;
   std::gamma_distribution<double> serviceTime_;
   std::mt19937_64 random_{99};
-  NodeSpeaker fakeNode_;
+  FakeNode fakeNode_;
   platform::NodeList list_;
   std::deque<std::unique_ptr<net::Listener>> listeners_;
   std::map<net::Connection*, std::shared_ptr<net::Connection>> connections_;
@@ -193,7 +193,7 @@
   net::Loop loop;
   FakeLeafs fakeLeafs(loop, leafs, kPartSeconds * options.slowdownFactor);
   platform::Directory directory;
-  directory.apply(fakeLeafs.list(), ListNews::Scope::full);
+  directory.apply(fakeLeafs.list(), ServerListUpdate::Scope::full);
   std::map<std::size_t, std::vector<std::unique_ptr<LoadGenerator>>> generators;
   const auto add = [&](std::size_t descriptors, std::size_t connectionLimit, std::uint64_t seed) {
     generators[descriptors].push_back(
--- a/src/lab/scale/drop_rule.cpp
+++ b/src/lab/scale/drop_rule.cpp
@@ -7,7 +7,7 @@
 
 #include <cerrno>
 
-#include "lab/scale/hollow.hpp"
+#include "lab/scale/hollow_members.hpp"
 
 namespace topazweir::lab::scale {
 
--- a/src/lab/scale/fleet_runs.cpp
+++ b/src/lab/scale/fleet_runs.cpp
@@ -2,10 +2,10 @@
 
 #include <set>
 
+#include "lab/scale/claims.hpp"
 #include "lab/scale/drop_rule.hpp"
 #include "lab/scale/fleet_setup.hpp"
-#include "lab/scale/herd.hpp"
-#include "lab/scale/report.hpp"
+#include "lab/scale/hollow_fleet.hpp"
 
 namespace topazweir::lab::scale {
 
--- a/src/lab/scale/fleet_setup.hpp
+++ b/src/lab/scale/fleet_setup.hpp
@@ -9,8 +9,8 @@
 #include <string>
 #include <vector>
 
-#include "lab/scale/herd.hpp"
-#include "lab/scale/report.hpp"
+#include "lab/scale/claims.hpp"
+#include "lab/scale/hollow_fleet.hpp"
 #include "lab/scale/socket_runs.hpp"
 
 namespace topazweir::lab::scale {
@@ -55,7 +55,8 @@
   static int fleets = 0;
   out.port = (options.port > 0 ? options.port : 17'000 + ::getpid() % 1000 * 10) + fleets++ % 5;
   out.relays = options.relays;
-  out.changeBytesPerS = static_cast<std::size_t>(options.bytesPerChild * childrenPerRelay(options, members));
+  out.changeBytesPerSecond =
+      static_cast<std::size_t>(options.bytesPerChild * childrenPerRelay(options, members));
   return out;
 }
 
--- a/src/lab/scale/herd.cpp
+++ b/src/lab/scale/hollow_fleet.cpp
@@ -1,4 +1,4 @@
-#include "lab/scale/herd.hpp"
+#include "lab/scale/hollow_fleet.hpp"
 
 #include <fcntl.h>
 #include <fmt/format.h>
@@ -102,7 +102,7 @@
     for (int at = 0; at < count; at += membersPerProcess)
       spawn(first + at * options_.stride, std::min(membersPerProcess, count - at));
   }
-  for (auto& process : processes_) writeCommand(process, "stat");
+  for (auto& process : processes_) serializeCommand(process, "stat");
   for (auto& process : processes_) {
     std::istringstream in(readAnswer(process));
     double cpu = 0, most = 0;
@@ -130,7 +130,8 @@
   ::getrlimit(RLIMIT_NOFILE, &descriptors);
   // Each member has two sockets and its exchanges: the allowed maximum at a voter, a quarter of that
   // elsewhere.
-  const int exchanges = static_cast<int>(fleet::Streams::kMostAsked + fleet::Streams::kMostAsking);
+  const int exchanges = static_cast<int>(fleet::StreamExchanges::kMaxOutgoingConnections +
+                                         fleet::StreamExchanges::kMaxIncomingConnections);
   const int most = std::max(membersPerProcess * (2 + exchanges / 4), 2 + 2 * exchanges) + 32;
   fmt::print(
       "uses: {} members in at most {} processes ({} alone, else up to {} each), about {:.1f} GB of at most "
@@ -154,7 +155,7 @@
                                      "--count",        std::to_string(count),
                                      "--stride",       std::to_string(options_.stride),
                                      "--relays",       std::to_string(options_.relays),
-                                     "--change-bytes", std::to_string(options_.changeBytesPerS),
+                                     "--change-bytes", std::to_string(options_.changeBytesPerSecond),
                                      "--members",      std::to_string(options_.fleetSize),
                                      "--voters",       std::to_string(options_.voters),
                                      "--keys",         std::to_string(options_.keys),
@@ -179,7 +180,7 @@
   processes_.push_back({id, to[1], from[0], first, count, {}, 0});
 }
 
-void HollowFleet::writeCommand(Process& process, const std::string& line) const {
+void HollowFleet::serializeCommand(Process& process, const std::string& line) const {
   const auto command = line + "\n";
   for (std::size_t at = 0; at < command.size();) {
     const auto wrote = ::write(process.commandFd, command.data() + at, command.size() - at);
@@ -208,20 +209,20 @@
 
 std::vector<std::string> HollowFleet::sendToAll(const std::string& line) {
   std::vector<std::string> out;
-  for (auto& process : processes_) writeCommand(process, line);
+  for (auto& process : processes_) serializeCommand(process, line);
   for (auto& process : processes_) out.push_back(readAnswer(process));
   return out;
 }
 
 std::string HollowFleet::sendToVoter(int i, const std::string& line) {
   auto& process = processes_.at(static_cast<std::size_t>(i));
-  writeCommand(process, line);
+  serializeCommand(process, line);
   return readAnswer(process);
 }
 
 ProcessStats HollowFleet::sumStats(std::size_t from, std::size_t to) {
   ProcessStats out;
-  for (auto i = from; i < to; ++i) writeCommand(processes_[i], "stat");
+  for (auto i = from; i < to; ++i) serializeCommand(processes_[i], "stat");
   for (auto i = from; i < to; ++i) {
     std::istringstream in(readAnswer(processes_[i]));
     ProcessStats s;
--- a/src/lab/scale/herd.hpp
+++ b/src/lab/scale/hollow_fleet.hpp
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "lab/scale/hollow.hpp"
+#include "lab/scale/hollow_members.hpp"
 
 namespace topazweir::lab::scale {
 
@@ -95,7 +95,7 @@
   };
   void checkLimits(int membersPerProcess) const;
   void spawn(int firstMember, int memberCount);
-  void writeCommand(Process& process, const std::string& line) const;
+  void serializeCommand(Process& process, const std::string& line) const;
   std::string readAnswer(Process& process) const;
   ProcessStats sumStats(std::size_t from, std::size_t to);
 
--- a/src/lab/scale/hollow.cpp
+++ b/src/lab/scale/hollow_members.cpp
@@ -1,4 +1,4 @@
-#include "lab/scale/hollow.hpp"
+#include "lab/scale/hollow_members.hpp"
 
 #include <Poco/Exception.h>
 #include <fmt/format.h>
@@ -19,9 +19,9 @@
 #include <vector>
 
 #include "agreement/file_store.hpp"
-#include "fleet/side.hpp"
+#include "fleet/fleet_service.hpp"
 #include "lab/scale/drop_rule.hpp"
-#include "lab/scale/pure_slopes.hpp"
+#include "lab/scale/socketless_costs.hpp"
 
 namespace topazweir::lab::scale {
 
@@ -81,15 +81,15 @@
     std::uint64_t sent = 0, received = 0;
   };
   struct Member {
-    std::unique_ptr<fleet::Side> service;
+    std::unique_ptr<fleet::FleetService> service;
     std::uint64_t commands = 0;        // at the last poll
     fleet::Counters countersBefore{};  // of its earlier incarnations
-    fleet::Streams::Counters streamsBefore{};
+    fleet::StreamExchanges::Counters streamsBefore{};
     Traffic sampledTraffic{};  // at the last sample
   };
 
-  config::Membership configFor(int i) const {
-    config::Membership out;
+  config::MembershipConfig configFor(int i) const {
+    config::MembershipConfig out;
     out.name = memberName(i);
     out.fleet = kHollowFleetName;
     out.listen = out.advertise = memberAddress(i, options_.port);
@@ -101,11 +101,11 @@
     if (i < options_.voters) out.state = options_.stateDirectory;
     for (int r = 0; r < options_.relays; ++r) out.relays.push_back(memberName(options_.voters + r));
     const bool relays = i >= options_.voters && i < options_.voters + options_.relays;
-    if (relays && options_.changeBytesPerS > 0) out.changeBytesPerS = options_.changeBytesPerS;
+    if (relays && options_.changeBytesPerSecond > 0) out.changeBytesPerSecond = options_.changeBytesPerSecond;
     out.period = options_.period;
-    out.answerTime = options_.period * 2 / 5;
-    out.syncEvery = 30 * options_.period;
-    out.forgetAfter = 600 * options_.period;
+    out.probeTimeout = options_.period * 2 / 5;
+    out.syncInterval = 30 * options_.period;
+    out.forgetTimeout = 600 * options_.period;
     return out;
   }
 
@@ -123,8 +123,8 @@
     if (member.service) return;
     if (i < options_.voters) writeInitialRegister(i);
     const auto seed = 1'000'003U * (static_cast<std::uint64_t>(i) + 5000 * options_.seed) + ++incarnations_;
-    member.service = std::make_unique<fleet::Side>(loop_, log_, configFor(i), "1.14.2", seed,
-                                                   membership::Share{options_.fleetSize, i}, host_);
+    member.service = std::make_unique<fleet::FleetService>(loop_, log_, configFor(i), "1.14.2", seed,
+                                                           membership::Share{options_.fleetSize, i}, host_);
     member.service->start();
     member.service->says(membership::Duty::serving);
   }
@@ -146,7 +146,7 @@
     to.unsent += c.unsent;
     to.registerAsked += c.registerAsked;
   }
-  static void add(fleet::Streams::Counters& to, const fleet::Streams::Counters& c) {
+  static void add(fleet::StreamExchanges::Counters& to, const fleet::StreamExchanges::Counters& c) {
     to.connected += c.connected;
     to.accepted += c.accepted;
     to.leftOut += c.leftOut;
@@ -161,7 +161,7 @@
     all.from = memberAddress(options_.firstMember, options_.port);
     for (int i = 0; i < options_.fleetSize; ++i) {
       auto record = memberRecord(i, memberAddress(i, options_.port));
-      record.version = "1.14.2" + std::string(fleet::kDisseminates);  // as the member announces it
+      record.version = "1.14.2" + std::string(fleet::kDisseminationSuffix);  // as the member announces it
       all.news.push_back(std::move(record));
     }
     const auto encoded = fleet::encode(all, kHollowFleetName);
@@ -261,13 +261,13 @@
     std::set<std::size_t> hashes;
     for (const auto& [i, member] : members_) {
       if (!member.service) continue;
-      const auto& held = member.service->council() ? member.service->council()->held()
-                                                   : member.service->disseminator()->held();
+      const auto& held = member.service->raftGroup() ? member.service->raftGroup()->held()
+                                                     : member.service->disseminator()->held();
       minCommands = std::min(minCommands, held.commands());
       maxCommands = std::max(maxCommands, held.commands());
       const Nanos memberAge = member.service->registerAge();
       maxAgeMs = std::max(maxAgeMs, memberAge < 0 ? kNeverFreshMs : memberAge / kMs);
-      const auto* coordinator = held.find(fleet::Council::kCoordinator);
+      const auto* coordinator = held.find(fleet::RaftGroup::kCoordinatorKey);
       minFence = std::min(minFence, coordinator ? coordinator->fence : 0);
       hashes.insert(std::hash<std::string>()(held.write()));
     }
@@ -275,7 +275,7 @@
     for (const auto hash : hashes) out += fmt::format(" {}", hash);
     return out;
   }
-  membership::State stateOf(const fleet::Side& service) const {
+  membership::State stateOf(const fleet::FleetService& service) const {
     const auto at = service.detector().view().find(watchedMember_);
     return at == service.detector().view().end() ? membership::State::alive : at->second.record.state;
   }
@@ -383,9 +383,9 @@
     if (changesLeft_-- <= 0) return;
     loop_.after(interval, [this, interval] { proposeNext(interval); });
     auto& service = members_.begin()->second.service;
-    if (!service || !service->council()) return;
+    if (!service || !service->raftGroup()) return;
     const auto key = keyOf(changesAttempted_ % std::max(1, options_.keys));
-    const auto* at = service->council()->held().find(key);
+    const auto* at = service->raftGroup()->held().find(key);
     changesAccepted_ +=
         service->propose({key, valueOf(changesAttempted_, changesAttempted_), at ? at->fence : 0});
     ++changesAttempted_;
@@ -400,7 +400,7 @@
   }
   std::string isLeader() const {
     const auto& service = members_.begin()->second.service;
-    return service && service->council() && service->council()->leads() ? "1" : "0";
+    return service && service->raftGroup() && service->raftGroup()->leads() ? "1" : "0";
   }
 
   std::string stat() {
@@ -411,7 +411,7 @@
     long pages = 0, resident = 0;
     statm >> pages >> resident;
     fleet::Counters c;
-    fleet::Streams::Counters s;
+    fleet::StreamExchanges::Counters s;
     std::size_t running = 0, minAlive = SIZE_MAX, maxAlive = 0;
     std::uint64_t minCommands = UINT64_MAX, maxCommands = 0;
     for (const auto& [i, member] : members_) {
@@ -443,7 +443,7 @@
   HollowHost host_;
   InputLines inputLines_;
   std::map<int, Member> members_;
-  std::optional<fleet::Streams> announcer_;
+  std::optional<fleet::StreamExchanges> announcer_;
   std::uint64_t incarnations_ = 0;
   std::string failure_;  // why a member could not start
   Nanos polledAt_ = 0, maxLoopDelay_ = 0, epochMs_ = 0;
--- a/src/lab/scale/hollow.hpp
+++ b/src/lab/scale/hollow_members.hpp
@@ -20,10 +20,10 @@
   int keys = 0;                  // of the initial register
   int port = 17'000;             // the same for all; each member has its own address in 127.0.0.0/8
   Nanos period = 1'000'000'000;  // between two probes of a member
-  std::size_t changeBytesPerS = 0;  // send limit of a relay; 0: the production default
-  std::string stateDirectory;       // for the voters' persistent state
-  std::uint64_t seed = 0;           // of the members' random numbers
-  bool votersAsSeeds = false;       // members are configured with the voters' addresses as seeds
+  std::size_t changeBytesPerSecond = 0;  // send limit of a relay; 0: the production default
+  std::string stateDirectory;            // for the voters' persistent state
+  std::uint64_t seed = 0;                // of the members' random numbers
+  bool votersAsSeeds = false;            // members are configured with the voters' addresses as seeds
   bool announced = true;  // members are sent the full list; else they discover each other by the seeds
 };
 
--- a/src/lab/scale/main.cpp
+++ b/src/lab/scale/main.cpp
@@ -4,13 +4,13 @@
 #include <CLI/CLI.hpp>
 #include <exception>
 
+#include "lab/scale/claims.hpp"
 #include "lab/scale/connections.hpp"
 #include "lab/scale/fleet_runs.hpp"
-#include "lab/scale/hollow.hpp"
-#include "lab/scale/module_slopes.hpp"
-#include "lab/scale/pure_slopes.hpp"
-#include "lab/scale/report.hpp"
+#include "lab/scale/hollow_members.hpp"
+#include "lab/scale/module_costs.hpp"
 #include "lab/scale/socket_runs.hpp"
+#include "lab/scale/socketless_costs.hpp"
 
 using namespace topazweir::lab::scale;
 
@@ -179,7 +179,7 @@
   command->add_option("--members", hollow.fleetSize);
   command->add_option("--voters", hollow.voters);
   command->add_option("--relays", hollow.relays);
-  command->add_option("--change-bytes", hollow.changeBytesPerS);
+  command->add_option("--change-bytes", hollow.changeBytesPerSecond);
   command->add_option("--keys", hollow.keys);
   command->add_option("--port", hollow.port);
   command->add_option("--period-ms", periodMs);
--- a/src/lab/scale/module_slopes.cpp
+++ b/src/lab/scale/module_costs.cpp
@@ -1,4 +1,4 @@
-#include "lab/scale/module_slopes.hpp"
+#include "lab/scale/module_costs.hpp"
 
 #include <malloc.h>
 
@@ -44,7 +44,7 @@
 
 // 94 shards on 94 cells, one replica set each. The class has the 260 ms of the target; slow start is set as
 // deployed.
-Settings settingsFor(std::uint64_t seed) {
+Settings settingsForStaticServers(std::uint64_t seed) {
   auto s = deployedSettings(kAggregators);
   s.seed = seed;
   s.number = static_cast<int>(seed % kAggregators);
@@ -67,8 +67,8 @@
   return e;
 }
 
-ListNews serverList(int leafs, ListNews::Scope scope) {
-  ListNews out{scope, {}};
+ServerListUpdate serverList(int leafs, ServerListUpdate::Scope scope) {
+  ServerListUpdate out{scope, {}};
   for (int i = 0; i < leafs; ++i) out.entries.push_back(leaf(i));
   return out;
 }
@@ -77,8 +77,9 @@
 
 class InstanceSimulation {
  public:
-  InstanceSimulation(int leafs, std::uint64_t seed) : module_(settingsFor(seed)), randomEngine_(seed) {
-    module_.handle(now_, {serverList(leafs, ListNews::Scope::initial)});
+  InstanceSimulation(int leafs, std::uint64_t seed)
+      : module_(settingsForStaticServers(seed)), randomEngine_(seed) {
+    module_.handle(now_, {serverList(leafs, ServerListUpdate::Scope::initial)});
   }
 
   // Simulates `time` of Poisson arrivals at the target's rate, with a mean answer time of 20 ms. Each event
@@ -290,10 +291,10 @@
   ColdStartSimulation(int aggregators, double partSeconds, Nanos roundTripTime, std::uint64_t seed)
       : partSeconds_(partSeconds), roundTripTime_(roundTripTime), randomEngine_(seed) {
     for (ServerId id = 1; id <= kWarmLeafs; ++id) add(id);
-    ListNews list{ListNews::Scope::initial, {}};
+    ServerListUpdate list{ServerListUpdate::Scope::initial, {}};
     for (const auto& [id, node] : leafs_) list.entries.push_back(entry(id, ServerState::up, 0));
     for (int i = 0; i < aggregators; ++i) {
-      auto s = settingsFor(1000 * seed + static_cast<std::uint64_t>(i));
+      auto s = settingsForStaticServers(1000 * seed + static_cast<std::uint64_t>(i));
       s.aggregators = aggregators;
       s.number = i;
       s.shards = s.cells = 1;
@@ -306,9 +307,9 @@
     serve(kLeadTime);
     coldStartedAt_ = now_;
     add(kColdLeaf);
-    const ListNews update{ListNews::Scope::changes,
-                          {entry(1, ServerState::gone, 0), entry(2, ServerState::gone, 0),
-                           entry(kColdLeaf, ServerState::up, coldStartedAt_)}};
+    const ServerListUpdate update{ServerListUpdate::Scope::changes,
+                                  {entry(1, ServerState::gone, 0), entry(2, ServerState::gone, 0),
+                                   entry(kColdLeaf, ServerState::up, coldStartedAt_)}};
     for (int i = 0; i < static_cast<int>(instances_.size()); ++i) turn(i, {update});
     serve(kWarmUpTime + kTailTime);
   }
@@ -516,8 +517,8 @@
       const auto seed = static_cast<std::uint64_t>(repeat + 1);
       {
         malloc_trim(0);
-        const auto list = std::vector<Event>{serverList(leafs, ListNews::Scope::initial)};
-        auto one = std::make_unique<Aggregator>(settingsFor(seed));
+        const auto list = std::vector<Event>{serverList(leafs, ServerListUpdate::Scope::initial)};
+        auto one = std::make_unique<Aggregator>(settingsForStaticServers(seed));
         const double held = heapBytes(), began = processCpuSeconds();
         one->handle(1000 * kSec, list);
         add(initial, 1e6 * (processCpuSeconds() - began));
@@ -553,8 +554,9 @@
       add(idle, 1e6 * isolated.cost(timer, turns));
       isolated.openQueries(10);
       add(ten, 1e6 * isolated.cost(timer, turns));
-      add(change, 1e6 * isolated.cost({ListNews{ListNews::Scope::changes, {leaf(leafs / 2)}}}, 10));
-      add(full, 1e6 * isolated.cost({serverList(leafs, ListNews::Scope::full)}, 5));
+      add(change,
+          1e6 * isolated.cost({ServerListUpdate{ServerListUpdate::Scope::changes, {leaf(leafs / 2)}}}, 10));
+      add(full, 1e6 * isolated.cost({serverList(leafs, ServerListUpdate::Scope::full)}, 5));
       isolated.openQueries(20);
       add(thirty, 1e6 * isolated.cost(timer, turns));
     }
@@ -573,9 +575,9 @@
   return understood ? 0 : 1;
 }
 
-// The limit: kFairShare 0.6 x tipMultiple 4 x warmth x tipWindow 2 s, divided by the number of aggregators;
-// unused shares accumulate over up to three windows. If a share is less than one part, the window is
-// stretched.
+// The limit: kFairShare 0.6 x overloadMultiple 4 x warmth x overloadWindow 2 s, divided by the number of
+// aggregators; unused shares accumulate over up to three windows. If a share is less than one part, the
+// window is stretched.
 int measureColdLeafShares(bool quick) {
   struct Load {
     double partSeconds;  // mean CPU time of a part
--- a/src/lab/scale/real.cpp
+++ b/src/lab/scale/real_processes.cpp
@@ -1,4 +1,4 @@
-#include "lab/scale/real.hpp"
+#include "lab/scale/real_processes.hpp"
 
 #include <Poco/Exception.h>
 #include <Poco/Net/StreamSocket.h>
@@ -14,7 +14,7 @@
 #include <fstream>
 #include <stdexcept>
 
-#include "lab/scale/pure_slopes.hpp"
+#include "lab/scale/socketless_costs.hpp"
 
 namespace topazweir::lab::scale {
 
--- a/src/lab/scale/real.hpp
+++ b/src/lab/scale/real_processes.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "lab/scale/hollow.hpp"
+#include "lab/scale/hollow_members.hpp"
 
 namespace topazweir::lab::scale {
 
--- a/src/lab/scale/socket_runs.cpp
+++ b/src/lab/scale/socket_runs.cpp
@@ -8,10 +8,10 @@
 #include <optional>
 #include <random>
 
+#include "lab/scale/claims.hpp"
 #include "lab/scale/fleet_setup.hpp"
-#include "lab/scale/herd.hpp"
-#include "lab/scale/real.hpp"
-#include "lab/scale/report.hpp"
+#include "lab/scale/hollow_fleet.hpp"
+#include "lab/scale/real_processes.hpp"
 
 namespace topazweir::lab::scale {
 
--- a/src/lab/scale/pure_slopes.cpp
+++ b/src/lab/scale/socketless_costs.cpp
@@ -1,4 +1,4 @@
-#include "lab/scale/pure_slopes.hpp"
+#include "lab/scale/socketless_costs.hpp"
 
 #include <unistd.h>
 
@@ -10,10 +10,10 @@
 #include "agreement/follower.hpp"
 #include "agreement/voter.hpp"
 #include "fleet/codec.hpp"
-#include "lab/scale/report.hpp"
+#include "lab/scale/claims.hpp"
 #include "membership/detector.hpp"
-#include "membership/sharers.hpp"
-#include "membership/standing.hpp"
+#include "membership/limit_sharing.hpp"
+#include "membership/membership_state.hpp"
 
 namespace topazweir::lab::scale {
 
@@ -33,7 +33,7 @@
 std::string encodeAnswer(const agreement::Register& held, std::uint64_t known) {
   membership::Message answer{.kind = membership::Kind::followReply, .sender = memberName(0)};
   answer.from = "10.24.117.83:9400";
-  answer.payload = agreement::answerToFollower(held, true, known);
+  answer.payload = agreement::encodeFollowerReply(held, true, known);
   return fleet::framed(fleet::encode(answer, kFleetName));
 }
 
@@ -335,7 +335,7 @@
   const std::vector<std::string> voters{memberName(1), memberName(2), memberName(3)},
       unknownVoters{"a", "b", "c"};
   std::vector<membership::Detector> detectors;
-  std::vector<membership::Sharers> sharers(sizes.size(), membership::Sharers(60 * kSec, 1));
+  std::vector<membership::LimitSharing> sharers(sizes.size(), membership::LimitSharing(60 * kSec, 1));
   // For each size: tick, membership state, limit sharing, membership state in a minority.
   std::vector<std::function<double()>> costs;
   std::vector<Nanos> clocks(sizes.size(), 2 * kSec);
--- a/src/membership/detector.cpp
+++ b/src/membership/detector.cpp
@@ -19,7 +19,7 @@
   members_[self_].record = std::move(self);
 }
 
-void Detector::adjustHealth(int delta) { health_ = std::clamp(health_ + delta, 0, settings_.worstHealth); }
+void Detector::adjustHealth(int delta) { health_ = std::clamp(health_ + delta, 0, settings_.maxHealthScore); }
 
 // Falls from the longest to the shortest time with each independent confirmation (Lifeguard, section IV).
 Nanos Detector::suspicionTime(const Suspicion& suspicion) const {
@@ -35,7 +35,7 @@
   message.sender = self_;
   message.from = self().address;
   message.load = members_.at(self_).load;
-  if (byStream(message.kind)) {
+  if (usesStream(message.kind)) {
     for (const auto& [name, member] : members_) message.news.push_back(member.record);
   } else {
     addUpdates(message, updateBytes);
@@ -150,7 +150,7 @@
   now_ = lastTick_ = now;
   seeds_ = seeds;
   probeAt_ = now + std::uniform_int_distribution<Nanos>(0, settings_.period)(random_);
-  syncAt_ = now + settings_.syncEvery;
+  syncAt_ = now + settings_.syncInterval;
   members_.at(self_).since = now;
   queueUpdate(self());
   for (const auto& seed : seeds)
@@ -210,7 +210,7 @@
 void Detector::checkProbe(Step& step) {
   if (!probe_) return;
   const Nanos age = now_ - probe_->sentAt;
-  if (!probe_->indirect && age >= times(settings_.answerTime, healthMultiplier())) {
+  if (!probe_->indirect && age >= times(settings_.probeTimeout, healthMultiplier())) {
     probe_->indirect = true;
     std::vector<std::string> others;
     for (const auto& [name, member] : members_)
@@ -262,7 +262,7 @@
   const Nanos gap = now - std::exchange(lastTick_, now);
   if (gap > settings_.period) {
     probe_.reset();
-    adjustHealth(static_cast<int>(std::min<Nanos>(gap / settings_.period, settings_.worstHealth)));
+    adjustHealth(static_cast<int>(std::min<Nanos>(gap / settings_.period, settings_.maxHealthScore)));
     for (auto& [name, suspicion] : suspicions_) suspicion.since += gap;
     probeAt_ = now + settings_.period;
   }
@@ -270,7 +270,7 @@
   if (now >= probeAt_) startProbe(step);
   expireSuspicions(step);
   for (auto& [sequence, probe] : relayedProbes_)
-    if (settings_.lifeguard && !probe.nacked && now - probe.sentAt >= settings_.answerTime * 8 / 10) {
+    if (settings_.lifeguard && !probe.nacked && now - probe.sentAt >= settings_.probeTimeout * 8 / 10) {
       probe.nacked = true;
       send(step, probe.address, Message{.kind = Kind::nack, .sequence = probe.sequence});
     }
@@ -286,7 +286,7 @@
 // Exchanges the full member list with a random member, which may be a failed one, or with a seed. This heals
 // partitions however long they lasted.
 void Detector::sync(Step& step) {
-  syncAt_ = now_ + times(settings_.syncEvery, 0.5 + static_cast<double>(random_() % 1000) / 1000.0);
+  syncAt_ = now_ + times(settings_.syncInterval, 0.5 + static_cast<double>(random_() % 1000) / 1000.0);
   std::vector<std::string> others;  // addresses
   bool isolated = true;
   for (const auto& [name, member] : members_) {
@@ -306,7 +306,7 @@
 void Detector::forgetDeparted() {
   std::erase_if(members_, [&](const auto& entry) {
     return entry.second.record.state >= State::failed && entry.first != self_ &&
-           now_ - entry.second.since > settings_.forgetAfter;
+           now_ - entry.second.since > settings_.forgetTimeout;
   });
 }
 
--- a/src/membership/detector.hpp
+++ b/src/membership/detector.hpp
@@ -14,7 +14,7 @@
 
 struct Settings {
   Nanos period = 1'000'000'000;        // between two probes
-  Nanos answerTime = 400'000'000;      // direct probe timeout; after it, indirect probes are sent
+  Nanos probeTimeout = 400'000'000;    // direct probe timeout; after it, indirect probes are sent
   std::size_t indirectProbes = 3;      // members asked for an indirect probe
   double suspicionFactor = 4;          // shortest suspicion time: periods times log10 of the members
   double maxSuspicionFactor = 6;       // longest suspicion time as a multiple of the shortest
@@ -23,10 +23,10 @@
   std::size_t updateBytesPerMessage = 1100;  // of the 1,200 bytes that pass common links unfragmented
   std::size_t maxAmplification = 3;          // an answer is at most this many times the size of its request
   double retransmitFactor = 3;          // sends of each update: this times the natural log of the members
-  int worstHealth = 8;                  // maximum of the local health score (Lifeguard)
-  Nanos syncEvery = 30'000'000'000;     // mean interval of full exchanges with a random member or absent seed
-  Nanos forgetAfter = 600'000'000'000;  // after which failed and left members are removed
-  std::size_t maxMembers = 4096;        // records of further members are dropped
+  int maxHealthScore = 8;               // maximum of the local health score (Lifeguard)
+  Nanos syncInterval = 30'000'000'000;  // mean interval of full exchanges with a random member or absent seed
+  Nanos forgetTimeout = 600'000'000'000;  // after which failed and left members are removed
+  std::size_t maxMembers = 4096;          // records of further members are dropped
   bool lifeguard = true;  // false: no local health, confirmations or nacks, for comparison with plain SWIM
   std::uint64_t seed = 1;
 };
--- a/src/membership/sharers.cpp
+++ b/src/membership/limit_sharing.cpp
@@ -1,11 +1,11 @@
 // Keeps the recent maximum of the member count with a monotonic queue.
-#include "membership/sharers.hpp"
+#include "membership/limit_sharing.hpp"
 
 #include <algorithm>
 
 namespace topazweir::membership {
 
-Share Sharers::now(const Detector& detector, Nanos now) {
+Share LimitSharing::now(const Detector& detector, Nanos now) {
   Share share{0, 0};
   for (const auto& [name, member] : detector.view()) {
     if (member.record.state == State::left && name != detector.self().name) continue;
--- a/src/membership/sharers.hpp
+++ b/src/membership/limit_sharing.hpp
@@ -19,10 +19,10 @@
 // counts until it is forgotten; a member that has left does not count. The count rises at once and falls only
 // after it has been lower for `settle`: while views differ, each member uses the highest recent count, so
 // that the sum of all shares stays within the limit.
-class Sharers {
+class LimitSharing {
  public:
   // `settle`: nanoseconds. `configuredCount`: lower bound of the count until the first `settle` has passed.
-  Sharers(Nanos settle, int configuredCount) : settle_(settle), configuredCount_(configuredCount) {}
+  LimitSharing(Nanos settle, int configuredCount) : settle_(settle), configuredCount_(configuredCount) {}
 
   Share now(const Detector& detector, Nanos now);
 
--- a/src/membership/record.hpp
+++ b/src/membership/record.hpp
@@ -82,7 +82,7 @@
 
 // Whether messages of this kind are sent over a stream: they may not fit into a datagram, and their answer is
 // many times the size of the request.
-inline bool byStream(Kind kind) {
+inline bool usesStream(Kind kind) {
   return kind == Kind::sync || kind == Kind::syncReply || kind == Kind::follow || kind == Kind::followReply;
 }
 
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -98,7 +98,7 @@
   if (notifyOwner) owner_->onEnd(*this, why);
 }
 
-void Connection::closeGently() {
+void Connection::closeGracefully() {
   if (state_ != State::up) return release();
   state_ = State::lingering;
   watch(true, writable_);
@@ -179,7 +179,7 @@
   if (state_ == State::up && flushed()) owner_->onFlushed(*this);
 }
 
-bool Connection::peerLeft() const {
+bool Connection::hasPeerClosed() const {
   if (receivedEnd_ || state_ == State::ended) return true;
   if (readable_ || state_ == State::connecting) return false;  // the loop will report it
   pollfd entry{fd(), POLLRDHUP, 0};
@@ -254,7 +254,7 @@
 void Connection::checkPausedPeer() {
   timer_ = {};
   if (state_ != State::up || readable_) return;
-  if (peerLeft()) owner_->onPeerClosedWhilePaused(*this);
+  if (hasPeerClosed()) owner_->onPeerClosedWhilePaused(*this);
   if (state_ == State::up && !readable_) pauseReading();
 }
 
--- a/src/net/connection.hpp
+++ b/src/net/connection.hpp
@@ -16,7 +16,7 @@
 namespace topazweir::net {
 
 // The owner is notified of each event. It must outlive the connection unless it has called close() or
-// closeGently(). Not thread-safe: all calls are made on the loop's thread.
+// closeGracefully(). Not thread-safe: all calls are made on the loop's thread.
 class Connection : public std::enable_shared_from_this<Connection> {
  public:
   class Owner {
@@ -56,10 +56,10 @@
   std::uint64_t written() const { return written_; }  // of these, bytes accepted by the socket
   bool flushed() const { return queued_ == written_; }
   // Reads bytes that have arrived but were not read yet. Returns false if there were none.
-  bool readMore() { return receive(); }
+  bool readAvailable() { return receive(); }
   // True if the peer has closed or reset the connection and input() holds its last bytes. While reading is
   // paused, unread bytes may still precede the end of the stream.
-  bool peerLeft() const;
+  bool hasPeerClosed() const;
   // Handles readiness of an accepted connection found by Loop::pollClientsIfStale, ahead of its own event.
   // `peerClosed`: the peer has closed or reset the connection.
   void handlePolledInput(bool peerClosed);
@@ -72,7 +72,7 @@
   void close();
   // Graceful shutdown without onEnd: writes the queued output, half-closes the stream and lingers until the
   // peer has read it. Closing over unread input would send a reset, which can destroy an answer in transit.
-  void closeGently();
+  void closeGracefully();
   // Closes the socket and reports `why` through onEnd, once.
   void end(ConnectionEnd why);
 
--- a/src/net/connection_end.hpp
+++ b/src/net/connection_end.hpp
@@ -12,12 +12,12 @@
   peerClosed,      // the peer closed it in an orderly way
   reset,           // the peer or its host reset it
   writeFailed,     // a write failed
-  badPeer,         // the peer violated the protocol; closed locally
-  beside,          // as badPeer, but the fault is in another attempt's answer, not in this one or the server
-  silent,          // the peer was unresponsive for far longer than answers take; closed locally
-  peerFault,       // the peer reported a protocol violation by this side and closed
-  replaced,        // the peer's process has been restarted since; closed locally
-  closedHere       // closed locally, no longer needed
+  protocolError,   // the peer violated the protocol; closed locally
+  beside,  // as protocolError, but the fault is in another attempt's answer, not in this one or the server
+  silent,  // the peer was unresponsive for far longer than answers take; closed locally
+  peerReportedError,  // the peer reported a protocol violation by this side and closed
+  replaced,           // the peer's process has been restarted since; closed locally
+  closedLocally       // closed locally, no longer needed
 };
 
 // The name that is logged.
@@ -39,16 +39,17 @@
     case ConnectionEnd::peerClosed:
     case ConnectionEnd::reset:
     case ConnectionEnd::writeFailed:
-    case ConnectionEnd::peerFault:
+    case ConnectionEnd::peerReportedError:
       return written ? Outcome::reset : Outcome::connectFailed;
     case ConnectionEnd::replaced:  // the new process is not at fault
       return written ? Outcome::reset : Outcome::notSent;
-    case ConnectionEnd::badPeer:  // the peer runs and may have executed it; reset would mean that it died
+    case ConnectionEnd::protocolError:  // the peer runs and may have executed it; reset would mean that it
+                                        // died
       return written ? Outcome::error : Outcome::notSent;
     case ConnectionEnd::silent:
       return written ? Outcome::timedOut : Outcome::notSent;
     case ConnectionEnd::beside:
-    case ConnectionEnd::closedHere:
+    case ConnectionEnd::closedLocally:
       return written ? Outcome::cancelled : Outcome::notSent;
   }
   return Outcome::reset;
--- a/src/net/inherited_socket.cpp
+++ b/src/net/inherited_socket.cpp
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-std::optional<std::string> inheritedFault(int descriptor) {
+std::optional<std::string> checkInheritedSocket(int descriptor) {
   const auto readOption = [&](int name, int& value) {
     socklen_t size = sizeof value;
     return ::getsockopt(descriptor, SOL_SOCKET, name, &value, &size) == 0;
@@ -40,6 +40,6 @@
   return std::nullopt;
 }
 
-Poco::Net::ServerSocket inheritedSocket(int descriptor) { return AdoptedSocket(descriptor); }
+Poco::Net::ServerSocket adoptInheritedSocket(int descriptor) { return AdoptedSocket(descriptor); }
 
 }  // namespace topazweir::net
--- a/src/net/inherited_socket.hpp
+++ b/src/net/inherited_socket.hpp
@@ -9,9 +9,9 @@
 namespace topazweir::net {
 
 // Checks that the descriptor is a listening TCP socket over IPv4. Returns the fault, or nullopt if it is one.
-std::optional<std::string> inheritedFault(int descriptor);
+std::optional<std::string> checkInheritedSocket(int descriptor);
 
 // Wraps the descriptor; the returned socket owns and closes it.
-Poco::Net::ServerSocket inheritedSocket(int descriptor);
+Poco::Net::ServerSocket adoptInheritedSocket(int descriptor);
 
 }  // namespace topazweir::net
--- a/src/net/datagrams.cpp
+++ b/src/net/udp_socket.cpp
@@ -1,21 +1,21 @@
-#include "net/datagrams.hpp"
+#include "net/udp_socket.hpp"
 
 #include <Poco/Exception.h>
 #include <Poco/Observer.h>
 
 namespace topazweir::net {
 
-using Observer = Poco::Observer<Datagrams, Poco::Net::ReadableNotification>;
+using Observer = Poco::Observer<UdpSocket, Poco::Net::ReadableNotification>;
 
-Datagrams::Datagrams(Loop& loop, const Poco::Net::SocketAddress& address, ReceiveHandler onReceive)
+UdpSocket::UdpSocket(Loop& loop, const Poco::Net::SocketAddress& address, ReceiveHandler onReceive)
     : loop_(loop), onReceive_(std::move(onReceive)), socket_(address, false), buffer_(kMost, '\0') {
   socket_.setBlocking(false);
-  loop_.addEventHandler(socket_, Observer(*this, &Datagrams::onReadable));
+  loop_.addEventHandler(socket_, Observer(*this, &UdpSocket::onReadable));
 }
 
-Datagrams::~Datagrams() { loop_.removeEventHandler(socket_, Observer(*this, &Datagrams::onReadable)); }
+UdpSocket::~UdpSocket() { loop_.removeEventHandler(socket_, Observer(*this, &UdpSocket::onReadable)); }
 
-bool Datagrams::send(std::string_view bytes, const Poco::Net::SocketAddress& to) {
+bool UdpSocket::send(std::string_view bytes, const Poco::Net::SocketAddress& to) {
   try {
     return socket_.sendTo(bytes.data(), static_cast<int>(bytes.size()), to) == static_cast<int>(bytes.size());
   } catch (const Poco::Exception&) {  // buffer full or no route: the same as a datagram lost in transit
@@ -23,7 +23,7 @@
   }
 }
 
-void Datagrams::onReadable(Poco::Net::ReadableNotification* event) {
+void UdpSocket::onReadable(Poco::Net::ReadableNotification* event) {
   event->release();
   for (int i = 0; i < kMaxDatagramsPerEvent; ++i) {
     Poco::Net::SocketAddress from;
--- a/src/net/datagrams.hpp
+++ b/src/net/udp_socket.hpp
@@ -12,15 +12,15 @@
 
 namespace topazweir::net {
 
-class Datagrams {
+class UdpSocket {
  public:
   using ReceiveHandler = std::function<void(std::string_view bytes, const Poco::Net::SocketAddress& from)>;
 
   // Binds to `address`; throws Poco::Exception if that fails.
-  Datagrams(Loop& loop, const Poco::Net::SocketAddress& address, ReceiveHandler onReceive);
-  ~Datagrams();
-  Datagrams(const Datagrams&) = delete;
-  Datagrams& operator=(const Datagrams&) = delete;
+  UdpSocket(Loop& loop, const Poco::Net::SocketAddress& address, ReceiveHandler onReceive);
+  ~UdpSocket();
+  UdpSocket(const UdpSocket&) = delete;
+  UdpSocket& operator=(const UdpSocket&) = delete;
 
   // Returns false if the local network stack did not accept the datagram. Delivery is never guaranteed.
   bool send(std::string_view bytes, const Poco::Net::SocketAddress& to);
--- a/src/operation/cold_sends.hpp
+++ b/src/operation/cold_sends.hpp
@@ -16,12 +16,12 @@
  public:
   using ByInstance = std::map<std::string, std::deque<Nanos>>;  // send times by instance id, oldest first
 
-  // `coldFor`: how long a leaf is cold after its start.
-  explicit ColdSends(Nanos coldFor) : coldFor_(coldFor) {}
+  // `warmUpTime`: how long a leaf is cold after its start.
+  explicit ColdSends(Nanos warmUpTime) : coldFor_(warmUpTime) {}
 
   // Records a send to a leaf if the leaf is cold; `startedAt` 0: started long ago.
   void note(const std::string& instance, Nanos startedAt, Nanos now);
-  // This process's sends within the last `coldFor`.
+  // This process's sends within the last `warmUpTime`.
   const ByInstance& recent(Nanos now);
 
   // One send by another process.
--- a/src/operation/call.cpp
+++ b/src/operation/command.cpp
@@ -1,4 +1,4 @@
-#include "operation/call.hpp"
+#include "operation/command.hpp"
 
 #include <algorithm>
 #include <array>
@@ -10,14 +10,14 @@
 
 struct Command {
   std::string_view text;
-  CallKind kind;
+  CommandKind kind;
   bool takesInstance;  // an instance id follows
 };
-constexpr std::array<Command, 5> kCommands{{{"ready", CallKind::ready, false},
-                                            {"disable-server", CallKind::disableServer, true},
-                                            {"enable-server", CallKind::enableServer, true},
-                                            {"drain", CallKind::drain, false},
-                                            {"resume", CallKind::resume, false}}};
+constexpr std::array<Command, 5> kCommands{{{"ready", CommandKind::ready, false},
+                                            {"disable-server", CommandKind::disableServer, true},
+                                            {"enable-server", CommandKind::enableServer, true},
+                                            {"drain", CommandKind::drain, false},
+                                            {"resume", CommandKind::resume, false}}};
 
 std::vector<std::string_view> splitWords(std::string_view line) {
   std::vector<std::string_view> out;
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-std::variant<Call, std::string> readCall(std::string_view line) {
+std::variant<Call, std::string> parseCommand(std::string_view line) {
   const auto printable = [](char c) { return (c >= ' ' && c <= '~') || c == '\t' || c == '\r'; };
   if (!std::all_of(line.begin(), line.end(), printable)) return "the line holds unprintable characters";
   const auto arguments = splitWords(line);
--- a/src/operation/call.hpp
+++ b/src/operation/command.hpp
@@ -8,22 +8,22 @@
 namespace topazweir::operation {
 
 // The operator commands.
-enum class CallKind { ready, disableServer, enableServer, drain, resume };
+enum class CommandKind { ready, disableServer, enableServer, drain, resume };
 
 // A parsed command.
 struct Call {
-  CallKind kind = CallKind::ready;
+  CommandKind kind = CommandKind::ready;
   std::string instance;  // id of a leaf, for disableServer and enableServer
 };
 
 // Longest command line in bytes, without its line end; the line server enforces it too.
-inline constexpr std::size_t kMostLine = 256;
+inline constexpr std::size_t kMaxLineBytes = 256;
 // Longest instance id in characters.
 inline constexpr std::size_t kMaxInstanceChars = 128;
 
 // Parses a line; returns an error message if it is not a command. Words are separated by blanks; a carriage
 // return before the line's end is ignored.
-std::variant<Call, std::string> readCall(std::string_view line);
+std::variant<Call, std::string> parseCommand(std::string_view line);
 
 // The reply to a command.
 struct Reply {
--- a/src/operation/holds.cpp
+++ b/src/operation/holds.cpp
@@ -30,8 +30,9 @@
 }
 
 void Holds::forget(Nanos now) {
-  std::erase_if(all_,
-                [&](const auto& entry) { return !entry.second.out() && now - entry.second.backAt > kKept; });
+  std::erase_if(all_, [&](const auto& entry) {
+    return !entry.second.out() && now - entry.second.backAt > kRetentionNs;
+  });
 }
 
 bool Holds::out(std::string_view instance) const {
--- a/src/operation/holds.hpp
+++ b/src/operation/holds.hpp
@@ -29,7 +29,8 @@
   bool set(std::string_view instance, bool out, Nanos now);
   // Merges another process's state and returns the leafs whose state has changed by it.
   std::vector<std::string> merge(const ByInstance& theirs);
-  // Removes leafs that have been back in service for longer than kKept: by then every process knows it.
+  // Removes leafs that have been back in service for longer than kRetentionNs: by then every process knows
+  // it.
   void forget(Nanos now);
 
   bool known(std::string_view instance) const { return all_.find(instance) != all_.end(); }
@@ -41,8 +42,8 @@
   Nanos startedAt(std::string_view instance, Nanos told) const;
   const ByInstance& all() const { return all_; }
 
-  static constexpr std::size_t kMost = 4096;       // leafs in the table, out or back in service
-  static constexpr Nanos kKept = 600'000'000'000;  // nanoseconds after the leaf was put back
+  static constexpr std::size_t kMost = 4096;              // leafs in the table, out or back in service
+  static constexpr Nanos kRetentionNs = 600'000'000'000;  // nanoseconds after the leaf was put back
 
  private:
   ByInstance all_;
--- a/src/operation/operation.cpp
+++ b/src/operation/operation.cpp
@@ -4,19 +4,19 @@
 
 namespace topazweir::operation {
 
-Operation::Operation(std::string aggregator, ProcessId self, Nanos coldFor)
-    : aggregator_(std::move(aggregator)), self_(self), cold_(coldFor) {}
+Operation::Operation(std::string aggregator, ProcessId self, Nanos warmUpTime)
+    : aggregator_(std::move(aggregator)), self_(self), cold_(warmUpTime) {}
 
 Answered Operation::call(const Call& call, bool listed, Nanos now) {
   switch (call.kind) {
-    case CallKind::ready:
+    case CommandKind::ready:
       return {ready(), {}};
-    case CallKind::disableServer:
-    case CallKind::enableServer:
+    case CommandKind::disableServer:
+    case CommandKind::enableServer:
       return setServer(call, listed, now);
-    case CallKind::drain:
+    case CommandKind::drain:
       return setDrained(true, now);
-    case CallKind::resume:
+    case CommandKind::resume:
       return setDrained(false, now);
   }
   return {{false, "unknown call"}, {}};
@@ -37,7 +37,7 @@
 
 Answered Operation::setServer(const Call& call, bool listed, Nanos now) {
   if (!listed && !holds_.known(call.instance)) return {{false, "no server has the id " + call.instance}, {}};
-  const bool out = call.kind == CallKind::disableServer;
+  const bool out = call.kind == CommandKind::disableServer;
   const bool was = holds_.out(call.instance);
   if (!holds_.set(call.instance, out, now))
     return {{false, "too many servers are out of service: " + std::to_string(Holds::kMost)}, {}};
@@ -69,22 +69,21 @@
   auto& peer = peers_[record.process];
   change.clients = change.clients || peer.phase != record.phase;
   peer = {record.phase, std::max(peer.heardAt, record.writtenAt)};
-  std::erase_if(peers_, [&](const auto& entry) { return now - entry.second.heardAt > 2 * kAlive; });
+  std::erase_if(peers_, [&](const auto& entry) { return now - entry.second.heardAt > 2 * kPeerTimeoutNs; });
   return change;
 }
 
 bool Operation::hasPeer(Nanos now, bool youngerServing) const {
   return std::any_of(peers_.begin(), peers_.end(), [&](const auto& entry) {
     const auto& [process, peer] = entry;
-    if (peer.phase == Phase::ended || now - peer.heardAt > kAlive) return false;
+    if (peer.phase == Phase::ended || now - peer.heardAt > kPeerTimeoutNs) return false;
     return !youngerServing || (process > self_ && peer.phase == Phase::serving);
   });
 }
 
-bool Operation::mayServe(const Prepared& prepared, Nanos now) const {
+bool Operation::mayServe(const Readiness& prepared, Nanos now) const {
   if (phase_ != Phase::starting) return false;
-  return (prepared.list && (prepared.connected || !accompanied(now))) ||
-         now - self_.startedAt >= kLongestStart;
+  return (prepared.list && (prepared.connected || !accompanied(now))) || now - self_.startedAt >= kMaxStartNs;
 }
 
 void Operation::serves() {
--- a/src/operation/operation.hpp
+++ b/src/operation/operation.hpp
@@ -6,7 +6,7 @@
 #include <map>
 #include <optional>
 
-#include "operation/call.hpp"
+#include "operation/command.hpp"
 #include "operation/record.hpp"
 
 namespace topazweir::operation {
@@ -26,15 +26,15 @@
 };
 
 // Readiness conditions of a starting process.
-struct Prepared {
+struct Readiness {
   bool list = false;       // a list of leafs is known, from discovery or inherited from the other process
   bool connected = false;  // connected to all reachable leafs; needed only if another process is alive
 };
 
 class Operation {
  public:
-  // `coldFor`: how long a leaf is cold after its start.
-  Operation(std::string aggregator, ProcessId self, Nanos coldFor);
+  // `warmUpTime`: how long a leaf is cold after its start.
+  Operation(std::string aggregator, ProcessId self, Nanos warmUpTime);
 
   // Executes a command. `listed`: discovery has announced the leaf. Commands are idempotent.
   Answered call(const Call& call, bool listed, Nanos now);
@@ -44,10 +44,10 @@
   void sent(const std::string& instance, Nanos startedAt, Nanos now) { cold_.note(instance, startedAt, now); }
 
   // Whether a starting process may accept clients now: once it is prepared, and in any case after
-  // kLongestStart, since an unresponsive discovery must not keep it from serving. It prefers to wait for
+  // kMaxStartNs, since an unresponsive discovery must not keep it from serving. It prefers to wait for
   // discovery because the announcements of discovery count as known from its first moment, even if an older
   // list differs. It waits for connections only if another process is alive.
-  bool mayServe(const Prepared& prepared, Nanos now) const;
+  bool mayServe(const Readiness& prepared, Nanos now) const;
   void serves();                           // accepts clients from now on
   void ends() { phase_ = Phase::ending; }  // graceful shutdown has begun
   void ended() { phase_ = Phase::ended; }
@@ -66,9 +66,9 @@
   Record record(std::string list, Nanos now);
 
   // A process counts as dead once its last record is older.
-  static constexpr Nanos kAlive = 3'000'000'000;
+  static constexpr Nanos kPeerTimeoutNs = 3'000'000'000;
   // Accepts clients at the latest this long after the start: half of how long operators wait for readiness.
-  static constexpr Nanos kLongestStart = 3'000'000'000;
+  static constexpr Nanos kMaxStartNs = 3'000'000'000;
 
  private:
   struct Peer {
--- a/src/ops/line_server.cpp
+++ b/src/ops/line_server.cpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <vector>
 
-#include "operation/call.hpp"
+#include "operation/command.hpp"
 
 namespace topazweir::ops {
 
@@ -45,7 +45,7 @@
     }
     auto* key = connection.get();
     callers_[key] = Caller{std::move(connection), loop_.now()};
-    if (key->readMore()) onData(*key);  // the line usually arrives with the connection
+    if (key->readAvailable()) onData(*key);  // the line usually arrives with the connection
   }
 }
 
@@ -81,7 +81,7 @@
   if (at == callers_.end()) return;
   const std::string_view input = connection.input();
   const auto end = std::min(input.find('\n'), input.size());
-  if (end > operation::kMostLine) return refuse(at->second, "the line is too long");
+  if (end > operation::kMaxLineBytes) return refuse(at->second, "the line is too long");
   if (end < input.size()) answer(at->second, input.substr(0, end));
 }
 
@@ -91,7 +91,7 @@
   ++counters_.lines;
   connection->write(answer_(line));
   connection->input().clear();  // one line per connection: the rest is not read
-  connection->closeGently();
+  connection->closeGracefully();
   closing_.push_back(connection);
 }
 
--- a/src/ops/side.cpp
+++ b/src/ops/operator_service.cpp
@@ -1,4 +1,4 @@
-#include "ops/side.hpp"
+#include "ops/operator_service.hpp"
 
 #include <unistd.h>
 
@@ -11,31 +11,33 @@
 constexpr Nanos kPrepareIntervalNs = 20 * kMs;  // between readiness checks while starting
 }  // namespace
 
-Side::Side(net::Loop& loop, broker::Log& log, Options options)
-    : Side(loop, log, std::move(options), operation::ProcessId{loop.now(), ::getpid()}) {}
+OperatorService::OperatorService(net::Loop& loop, broker::Log& log, Options options)
+    : OperatorService(loop, log, std::move(options), operation::ProcessId{loop.now(), ::getpid()}) {}
 
-Side::Side(net::Loop& loop, broker::Log& log, Options options, operation::ProcessId self)
-    : loop_(loop), log_(log), operation_(options.aggregator, self, options.coldFor) {
+OperatorService::OperatorService(net::Loop& loop, broker::Log& log, Options options,
+                                 operation::ProcessId self)
+    : loop_(loop), log_(log), operation_(options.aggregator, self, options.warmUpTime) {
   if (!options.folder) return;
   folder_.emplace(log_, *options.folder, self);
   folder_->read([this](const auto& record) {
     const auto change = operation_.heard(record, loop_.now());
     inheritedSends_.insert(inheritedSends_.end(), change.coldSends.begin(), change.coldSends.end());
-    if (record.writtenAt <= inheritedAt_ || loop_.now() - record.writtenAt > operation::Operation::kAlive)
+    if (record.writtenAt <= inheritedAt_ ||
+        loop_.now() - record.writtenAt > operation::Operation::kPeerTimeoutNs)
       return;
     inheritedAt_ = record.writtenAt;
     inheritedList_ = record.list;
   });
 }
 
-Side::~Side() {
+OperatorService::~OperatorService() {
   loop_.cancel(readTimer_);
   loop_.cancel(prepareTimer_);
 }
 
-void Side::run(Host& host, const std::string& address, std::size_t places) {
+void OperatorService::run(Host& host, const std::string& address, std::size_t places) {
   host_ = &host;
-  for (const auto& send : inheritedSends_) host_->sentElsewhere(send);
+  for (const auto& send : inheritedSends_) host_->recordSendByOtherProcess(send);
   inheritedSends_.clear();
   if (!address.empty())
     server_.emplace(loop_, log_, Poco::Net::SocketAddress(address), places,
@@ -45,7 +47,7 @@
   if (folder_) readRecords();
 }
 
-void Side::prepare() {
+void OperatorService::prepare() {
   const auto prepared = host_->prepare(follows());
   if (!operation_.mayServe(prepared, loop_.now())) {
     prepareTimer_ = loop_.after(kPrepareIntervalNs, [this] { prepare(); });
@@ -60,9 +62,9 @@
   write();
 }
 
-std::string Side::answer(std::string_view line) {
+std::string OperatorService::answer(std::string_view line) {
   if (const auto other = host_->answer(line)) return *other;
-  const auto read = operation::readCall(line);
+  const auto read = operation::parseCommand(line);
   operation::Answered answered;
   if (const auto* why = std::get_if<std::string>(&read)) {
     answered.reply = {false, *why};
@@ -79,18 +81,18 @@
   return text;
 }
 
-void Side::carryOut(const operation::Change& change) {
+void OperatorService::carryOut(const operation::Change& change) {
   if (!change.leafs.empty()) {
     for (const auto& leaf : change.leafs)
       log_.line("operation.server",
                 leaf + (operation_.holds().out(leaf) ? " out of service" : " in service"));
     host_->moved(change.leafs);
   }
-  for (const auto& send : change.coldSends) host_->sentElsewhere(send);
+  for (const auto& send : change.coldSends) host_->recordSendByOtherProcess(send);
   if (change.clients) host_->clientsChanged();
 }
 
-void Side::readRecords() {
+void OperatorService::readRecords() {
   readTimer_ = loop_.after(kReadIntervalNs, [this] { readRecords(); });
   folder_->read([this](const auto& record) { carryOut(operation_.heard(record, loop_.now())); });
   const bool accompanied = follows();
@@ -99,23 +101,23 @@
   if (!accompanied) folder_->tidy(loop_.now());
 }
 
-void Side::write() {
+void OperatorService::write() {
   if (!folder_) return;
   writtenAt_ = loop_.now();
   folder_->write(operation_.record(host_->list(), writtenAt_));
 }
 
-void Side::ends() {
+void OperatorService::ends() {
   operation_.ends();
   if (host_) write();
 }
 
-void Side::ended() {
+void OperatorService::ended() {
   operation_.ended();
   if (host_) write();
 }
 
-std::string Side::print() const {
+std::string OperatorService::print() const {
   const auto line = [](const char* name, std::uint64_t value) {
     return std::string(name) + ' ' + std::to_string(value) + '\n';
   };
--- a/src/ops/side.hpp
+++ b/src/ops/operator_service.hpp
@@ -21,12 +21,12 @@
   // The leafs were taken out of service or put back.
   virtual void moved(const std::vector<std::string>& leafs) = 0;
   // Another process has sent to a cold leaf.
-  virtual void sentElsewhere(const operation::ColdSends::Send& send) = 0;
+  virtual void recordSendByOtherProcess(const operation::ColdSends::Send& send) = 0;
   virtual void clientsChanged() = 0;  // takesClients() or drained() may have changed
   // Whether the limits are shared with another process.
   virtual void share(bool shared) = 0;
   // Prepares for accepting clients and reports the progress; polled until it suffices.
-  virtual operation::Prepared prepare(bool follows) = 0;
+  virtual operation::Readiness prepare(bool follows) = 0;
   virtual void serve() = 0;              // accept clients from now on
   virtual std::string list() const = 0;  // the list of leafs, in discovery's format
   // Answers other commands; nullopt if the line is none of them.
@@ -36,16 +36,16 @@
 // Configuration of the service.
 struct Options {
   std::string aggregator;             // name of the aggregator
-  Nanos coldFor = 0;                  // how long a leaf is cold after its start
+  Nanos warmUpTime = 0;               // how long a leaf is cold after its start
   std::optional<std::string> folder;  // state folder shared by the processes; none: single process
 };
 
-class Side {
+class OperatorService {
  public:
-  Side(net::Loop& loop, broker::Log& log, Options options);
-  ~Side();
-  Side(const Side&) = delete;
-  Side& operator=(const Side&) = delete;
+  OperatorService(net::Loop& loop, broker::Log& log, Options options);
+  ~OperatorService();
+  OperatorService(const OperatorService&) = delete;
+  OperatorService& operator=(const OperatorService&) = delete;
 
   // Whether another process of this aggregator is alive; clients then wait until this one is prepared.
   bool follows() const { return operation_.accompanied(loop_.now()); }
@@ -70,7 +70,7 @@
   std::string print() const;                          // counters as "name value" lines
 
  private:
-  Side(net::Loop& loop, broker::Log& log, Options options, operation::ProcessId self);
+  OperatorService(net::Loop& loop, broker::Log& log, Options options, operation::ProcessId self);
   std::string answer(std::string_view line);
   void carryOut(const operation::Change& change);
   void prepare();
--- a/src/ops/record_text.cpp
+++ b/src/ops/record_text.cpp
@@ -7,7 +7,7 @@
 #include <algorithm>
 #include <charconv>
 
-#include "telemetry/json_text.hpp"
+#include "telemetry/json_string.hpp"
 
 namespace topazweir::ops {
 
@@ -89,22 +89,22 @@
 }  // namespace
 
 std::string writeRecord(const Record& r) {
-  using telemetry::jsonText;
+  using telemetry::quoteJson;
   std::string body = fmt::format(
       R"({{"aggregator":{},"startedAt":{},"pid":{},"phase":"{}","writtenAt":{},"drained":{},"drainedAt":{},"holds":[)",
-      jsonText(r.aggregator), r.process.startedAt, r.process.pid,
+      quoteJson(r.aggregator), r.process.startedAt, r.process.pid,
       operation::kPhaseNames[static_cast<std::size_t>(r.phase)], r.writtenAt, r.drained.on, r.drained.at);
   const auto next = [&body, first = true]() mutable { body += std::exchange(first, false) ? "" : ","; };
   for (auto comma = next; const auto& [id, hold] : r.holds) {
     comma();
-    body += fmt::format(R"({{"id":{},"outAt":{},"backAt":{}}})", jsonText(id), hold.outAt, hold.backAt);
+    body += fmt::format(R"({{"id":{},"outAt":{},"backAt":{}}})", quoteJson(id), hold.outAt, hold.backAt);
   }
   body += R"(],"coldSends":[)";
   for (auto comma = next; const auto& [id, sends] : r.coldSends) {
     comma();
-    body += fmt::format(R"({{"id":{},"at":[{}]}})", jsonText(id), fmt::join(sends, ","));
+    body += fmt::format(R"({{"id":{},"at":[{}]}})", quoteJson(id), fmt::join(sends, ","));
   }
-  body += R"(],"list":)" + jsonText(r.list) + "}";
+  body += R"(],"list":)" + quoteJson(r.list) + "}";
   return fmt::format("{} {} {} {:016x}\n", kFormat, kVersion, body.size(),
                      XXH3_64bits(body.data(), body.size())) +
          body;
--- a/src/ops/state_folder.cpp
+++ b/src/ops/state_folder.cpp
@@ -93,7 +93,7 @@
 
 void StateFolder::tidy(Nanos now) {
   for (const auto& [name, seen] : seen_)
-    if (now - std::max(seen.writtenAt, seen.changedAt) > kKept) ::unlink(path(name).c_str());
+    if (now - std::max(seen.writtenAt, seen.changedAt) > kRetentionNs) ::unlink(path(name).c_str());
 }
 
 }  // namespace topazweir::ops
--- a/src/ops/state_folder.hpp
+++ b/src/ops/state_folder.hpp
@@ -23,10 +23,11 @@
   void read(const std::function<void(const operation::Record&)>& heard);
   // Writes this process's own record; a failure is logged.
   void write(const operation::Record& record);
-  // Deletes files not written for longer than kKept, so that the folder does not grow with each upgrade.
+  // Deletes files not written for longer than kRetentionNs, so that the folder does not grow with each
+  // upgrade.
   void tidy(Nanos now);
 
-  static constexpr Nanos kKept = 60'000'000'000;
+  static constexpr Nanos kRetentionNs = 60'000'000'000;
   static constexpr std::size_t kMostFiles = 64;  // files read; no more are expected from this program
 
  private:
--- a/src/platform/descriptor_shares.hpp
+++ b/src/platform/descriptor_shares.hpp
@@ -16,10 +16,11 @@
   // node, one in use and one that replaces it. Clients get what remains.
   // In a large fleet queries that touch all shards need connections to most nodes, while each of many
   // aggregators has only a few clients.
-  // `setApart`: descriptors reserved for operators' calls, which neither side may use.
-  static DescriptorShares of(std::size_t sockets, std::size_t listedNodes, std::size_t setApart = 0) {
+  // `reservedDescriptors`: descriptors reserved for operators' calls, which neither side may use.
+  static DescriptorShares of(std::size_t sockets, std::size_t listedNodes,
+                             std::size_t reservedDescriptors = 0) {
     constexpr std::size_t kOtherDescriptors = 32;
-    sockets -= std::min(sockets, setApart);
+    sockets -= std::min(sockets, reservedDescriptors);
     const std::size_t quarter = sockets / 4;
     const std::size_t usable = sockets - std::min(sockets, kOtherDescriptors);
     const auto nodes =
--- a/src/platform/directory.cpp
+++ b/src/platform/directory.cpp
@@ -7,7 +7,7 @@
 #include <algorithm>
 #include <cmath>
 
-#include "telemetry/json_text.hpp"
+#include "telemetry/json_string.hpp"
 
 namespace topazweir::platform {
 
@@ -104,15 +104,15 @@
   return list;
 }
 
-ListNews Directory::apply(const NodeList& list, ListNews::Scope scope) {
+ServerListUpdate Directory::apply(const NodeList& list, ServerListUpdate::Scope scope) {
   const auto before = nodes_;
-  if (scope != ListNews::Scope::changes) {  // nodes that a full list does not name have left
+  if (scope != ServerListUpdate::Scope::changes) {  // nodes that a full list does not name have left
     for (auto& [id, node] : nodes_) {
       node.announcedState = ServerState::gone;
       node.entry.state = ServerState::gone;
     }
   }
-  ListNews update;
+  ServerListUpdate update;
   update.scope = scope;
   for (auto entry : list.entries) {
     const auto [at, inserted] = ids_.try_emplace(entry.instance, lastId_ + 1);
@@ -153,9 +153,9 @@
   return holds_ ? holds_->startedAt(entry.instance, entry.startedAt) : entry.startedAt;
 }
 
-ListNews Directory::moved(const std::vector<std::string>& instances) {
-  ListNews update;
-  update.scope = ListNews::Scope::changes;
+ServerListUpdate Directory::moved(const std::vector<std::string>& instances) {
+  ServerListUpdate update;
+  update.scope = ServerListUpdate::Scope::changes;
   for (const auto& instance : instances)
     if (const auto at = ids_.find(instance); at != ids_.end())
       update.entries.push_back(applyHold(nodes_.at(at->second)));
@@ -178,7 +178,7 @@
 }
 
 std::string Directory::text(std::int64_t generation, const std::vector<std::string>& zones) const {
-  using telemetry::jsonText;
+  using telemetry::quoteJson;
   std::string out = fmt::format(R"({{"generation":{},"reset":true,"instances":[)", generation);
   bool first = true;
   for (const auto& [id, node] : nodes_) {
@@ -187,8 +187,8 @@
     const auto zone = static_cast<std::size_t>(entry.zone);
     out += fmt::format(
         R"({}{{"instanceId":{},"hostPort":"{}","zone":{},"cell":{},"lifecycle":"{}","weight":{},"startedAtMs":{}}})",
-        std::exchange(first, false) ? "" : ",", jsonText(entry.instance), entry.address.toString(),
-        jsonText(zone < zones.size() ? zones[zone] : std::string()), entry.cell,
+        std::exchange(first, false) ? "" : ",", quoteJson(entry.instance), entry.address.toString(),
+        quoteJson(zone < zones.size() ? zones[zone] : std::string()), entry.cell,
         node.announcedState == ServerState::up ? "Ready" : "Terminating", entry.weight,
         entry.startedAt / kNanosPerMs);
   }
--- a/src/platform/directory.hpp
+++ b/src/platform/directory.hpp
@@ -54,10 +54,10 @@
   // outlive this.
   explicit Directory(const operation::Holds* holds = nullptr) : holds_(holds) {}
   // Applies a list; returns it as an update for the decision module.
-  ListNews apply(const NodeList& list, ListNews::Scope scope);
+  ServerListUpdate apply(const NodeList& list, ServerListUpdate::Scope scope);
   // Recomputes these nodes after operators have taken them out of service or put them back; returns an update
   // for the decision module. Instances that no list has named are skipped.
-  ListNews moved(const std::vector<std::string>& instances);
+  ServerListUpdate moved(const std::vector<std::string>& instances);
   // Null if unknown.
   const Node* find(ServerId id) const;
   const Node* find(std::string_view instance) const;
--- a/src/platform/discovery.cpp
+++ b/src/platform/discovery.cpp
@@ -8,7 +8,7 @@
 bool isBlank(char c) { return c == ' ' || c == '\t' || c == '\r' || c == '\n'; }
 }  // namespace
 
-std::optional<std::string> ListCutter::next() {
+std::optional<std::string> JsonObjectSplitter::next() {
   for (; scanned_ < buffer_.size(); ++scanned_) {
     const char c = buffer_[scanned_];
     if (depth_ == 0) {
@@ -43,7 +43,7 @@
 Discovery::WatchRequest::WatchRequest(Discovery& discovery)
     : discovery_(discovery),
       connection_(net::Connection::connect(discovery_.loop_, discovery_.address_,
-                                           RetryPace::kConnectTimeoutNs, *this)) {}
+                                           DiscoveryRetryPolicy::kConnectTimeoutNs, *this)) {}
 
 Discovery::WatchRequest::~WatchRequest() {
   discovery_.loop_.cancel(timer_);
@@ -106,7 +106,8 @@
 }
 
 Discovery::Discovery(net::Loop& loop, broker::Log& log, Poco::Net::SocketAddress address,
-                     std::vector<std::string> zones, std::int64_t generation, RetryPace pace, OnList onList)
+                     std::vector<std::string> zones, std::int64_t generation, DiscoveryRetryPolicy pace,
+                     OnList onList)
     : loop_(loop),
       log_(log),
       address_(std::move(address)),
@@ -143,7 +144,7 @@
 void Discovery::onActivity(WatchRequest& request) {
   if (&request != current_.get()) return;
   pace_.recordData(loop_.now());
-  request.startTimeout(RetryPace::kWatchIdleTimeoutNs);
+  request.startTimeout(DiscoveryRetryPolicy::kWatchIdleTimeoutNs);
 }
 
 // The first list, or whitespace that says there is no newer one, makes a request the watch and closes the
--- a/src/platform/discovery.hpp
+++ b/src/platform/discovery.hpp
@@ -12,15 +12,15 @@
 #include "http/message.hpp"
 #include "net/connection.hpp"
 #include "platform/directory.hpp"
-#include "platform/retry_pace.hpp"
+#include "platform/discovery_retry_policy.hpp"
 
 namespace topazweir::platform {
 
 // Splits a byte stream into its JSON objects, whatever their layout (one per line, indented, with empty lines
 // between) and wherever reads cut them. Buffers at most one object, of up to `maxBytes`.
-class ListCutter {
+class JsonObjectSplitter {
  public:
-  explicit ListCutter(std::size_t maxBytes) : maxBytes_(maxBytes) {}
+  explicit JsonObjectSplitter(std::size_t maxBytes) : maxBytes_(maxBytes) {}
   void add(std::string_view bytes) { buffer_ += bytes; }
   // The next complete object; none: more input is needed, or there is a fault.
   std::optional<std::string> next();
@@ -46,7 +46,8 @@
   // Connects at once. `generation`: of the list that is known already, 0 for none. `onList` is called with
   // each list that arrives.
   Discovery(net::Loop& loop, broker::Log& log, Poco::Net::SocketAddress address,
-            std::vector<std::string> zones, std::int64_t generation, RetryPace pace, OnList onList);
+            std::vector<std::string> zones, std::int64_t generation, DiscoveryRetryPolicy pace,
+            OnList onList);
   ~Discovery();
   // Follows the agent at this address from now on; the lists received so far stay in force.
   void moveTo(Poco::Net::SocketAddress address);
@@ -75,8 +76,8 @@
     std::optional<Failure> consumeLists();
 
     Discovery& discovery_;
-    http::Parser parser_{http::Side::response, kHttpLimits};
-    ListCutter lists_{kMaxListBytes};
+    http::Parser parser_{http::MessageKind::response, kHttpLimits};
+    JsonObjectSplitter lists_{kMaxListBytes};
     bool answered_ = false;  // with a whole list, or with whitespace that says there is no newer one
     net::Loop::TimerId timer_;
     std::shared_ptr<net::Connection> connection_;
@@ -95,7 +96,7 @@
   Poco::Net::SocketAddress address_;
   std::vector<std::string> zones_;
   std::int64_t generation_;
-  RetryPace pace_;
+  DiscoveryRetryPolicy pace_;
   OnList onList_;
   std::unique_ptr<WatchRequest> current_;  // the latest request, later the watch
   // An older request that keeps its place in discovery's queue until one of the two is answered.
--- a/src/platform/retry_pace.cpp
+++ b/src/platform/discovery_retry_policy.cpp
@@ -1,4 +1,4 @@
-#include "platform/retry_pace.hpp"
+#include "platform/discovery_retry_policy.hpp"
 
 #include <algorithm>
 
@@ -19,13 +19,14 @@
 // all of it, for a request that is given up on loses its place in the queue and is worked off in vain; the
 // wait after that is 1 s at most.
 constexpr Nanos kMaxRequestGapNs =
-    RetryPace::kUpdateDeadlineNs - RetryPace::kConnectTimeoutNs - kMinAnswerTimeoutNs;
-constexpr Nanos kMaxAnswerTimeoutNs = kMaxRequestGapNs - RetryPace::kConnectTimeoutNs - 1000 * kMs;
+    DiscoveryRetryPolicy::kUpdateDeadlineNs - DiscoveryRetryPolicy::kConnectTimeoutNs - kMinAnswerTimeoutNs;
+constexpr Nanos kMaxAnswerTimeoutNs = kMaxRequestGapNs - DiscoveryRetryPolicy::kConnectTimeoutNs - 1000 * kMs;
 // For an agent on the same machine. Their sum is below the time that a drain allows after its announcement.
 constexpr Nanos kAgentAnswerTimeoutNs = 300 * kMs;
 constexpr Nanos kAgentWaitNs = 100 * kMs;
 // Reserved at the end of the time left: to connect, to read the list, and for a second request.
-constexpr Nanos kSecondRequestReserveNs = RetryPace::kConnectTimeoutNs + kMinAnswerTimeoutNs + kMinWaitNs;
+constexpr Nanos kSecondRequestReserveNs =
+    DiscoveryRetryPolicy::kConnectTimeoutNs + kMinAnswerTimeoutNs + kMinWaitNs;
 // For the request that keeps its place in the queue: a service of two lists a second must get through the
 // whole fleet. If this is too short, the request that replaces it starts behind all that have arrived
 // meanwhile; if it is too long it costs a descriptor.
@@ -34,33 +35,33 @@
 constexpr Nanos kMaxKeptRequestTimeoutNs = 1'800'000 * kMs;
 }  // namespace
 
-RetryPace::RetryPace(int clients, bool pushed, std::uint64_t seed)
+DiscoveryRetryPolicy::DiscoveryRetryPolicy(int clients, bool pushed, std::uint64_t seed)
     : roundTime_(std::min(kMaxRequestGapNs, kRoundTimePerClientNs * std::max(1, clients))),
       keptRequestTimeout_(
           std::clamp(kSlowestServiceTimeNs * clients, kMinKeptRequestTimeoutNs, kMaxKeptRequestTimeoutNs)),
       pushed_(pushed),
       random_(seed) {}
 
-void RetryPace::recordData(Nanos now) {
+void DiscoveryRetryPolicy::recordData(Nanos now) {
   updateDeadline_ = now + kUpdateDeadlineNs;
   lastRequestAt_ = now;
 }
 
-void RetryPace::recordMove(Nanos now) {
+void DiscoveryRetryPolicy::recordMove(Nanos now) {
   updateDeadline_ = now + kUpdateDeadlineAfterMoveNs;
   lastRequestAt_ = now;
   recordSuccess();
 }
 
 // Time left for a first request and the wait before it, such that a second one still meets the deadline.
-Nanos RetryPace::timeForFirstRequest(Nanos now) const {
+Nanos DiscoveryRetryPolicy::timeForFirstRequest(Nanos now) const {
   return std::max<Nanos>(0, updateDeadline_ - now - kSecondRequestReserveNs);
 }
 
 // The longest wait after which the next request still brings in time what the last one may have missed. A
 // request that fails reports discovery's state as of its start, since later updates may have been available
 // to another one; a refusal comes from discovery itself, so it reports the state as of now.
-Nanos RetryPace::maxWait(Nanos now, bool refused) const {
+Nanos DiscoveryRetryPolicy::maxWait(Nanos now, bool refused) const {
   const Nanos elapsed =
       refused ? 0 : std::clamp<Nanos>(now - lastRequestAt_, 0, kConnectTimeoutNs + kMaxAnswerTimeoutNs);
   Nanos wait = kMaxRequestGapNs - elapsed;
@@ -79,7 +80,7 @@
 
 // The first wait may be close to zero: only then do the requests of a fleet that fails all at once spread
 // over the whole time available.
-Nanos RetryPace::nextWait(Nanos now, bool refused) {
+Nanos DiscoveryRetryPolicy::nextWait(Nanos now, bool refused) {
   int& previous = refused ? refusals_ : failures_;
   const Nanos backoff =
       pushed_ ? kAgentWaitNs : std::max(kMinWaitNs, roundTime_) << std::min(previous, kMaxDoublings);
@@ -91,7 +92,7 @@
   return wait;
 }
 
-Nanos RetryPace::answerTimeout(Nanos now) const {
+Nanos DiscoveryRetryPolicy::answerTimeout(Nanos now) const {
   if (pushed_) return kAgentAnswerTimeoutNs;
   const Nanos longest =
       std::min(kMaxAnswerTimeoutNs, std::max(kMinAnswerTimeoutNs, 2 * roundTime_) << std::min(failures_, 1));
--- a/src/platform/retry_pace.hpp
+++ b/src/platform/discovery_retry_policy.hpp
@@ -34,10 +34,10 @@
 // Pushed lists: an agent on the same machine answers at once and at no cost, and an update counts as
 // announced as soon as the agent has it. So the agent is asked at short intervals with a short time-out,
 // without back-off and without hedging, also after it has refused.
-class RetryPace {
+class DiscoveryRetryPolicy {
  public:
   // `clients`: how many ask the same service. `pushed`: lists come from an agent on this machine.
-  RetryPace(int clients, bool pushed, std::uint64_t seed);
+  DiscoveryRetryPolicy(int clients, bool pushed, std::uint64_t seed);
 
   // After a failure or a lost watch: the wait before the next request. `refused`: discovery itself answered
   // with an error. If the request had waited in its queue, the service is overloaded, and asking sooner on
--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -8,11 +8,11 @@
                              broker::Broker& broker, std::function<std::string()> counters)
     : broker_(broker), counters_(std::move(counters)), server_(loop, log, std::move(options), *this) {}
 
-void PlatformFront::respondText(http::Server::ExchangeNo exchange, int status, std::string text) {
+void PlatformFront::respondText(http::Server::ExchangeId exchange, int status, std::string text) {
   server_.respond(exchange, {status, "text/plain", std::move(text), {}});
 }
 
-void PlatformFront::onRequest(http::Server::ExchangeNo exchange, const http::Head& head,
+void PlatformFront::onRequest(http::Server::ExchangeId exchange, const http::Head& head,
                               std::string_view body) {
   const auto path = head.target.substr(0, head.target.find('?'));
   const bool isPage = path == "/up" || path == "/counters";
@@ -24,7 +24,7 @@
   handleQuery(exchange, head, body);
 }
 
-void PlatformFront::handleQuery(http::Server::ExchangeNo exchange, const http::Head& head,
+void PlatformFront::handleQuery(http::Server::ExchangeId exchange, const http::Head& head,
                                 std::string_view body) {
   auto read = readQuery(head, body, broker_.terms());
   if (const auto* fault = std::get_if<http::Fault>(&read))
@@ -38,7 +38,7 @@
   broker_.begin(request);
 }
 
-void PlatformFront::onGone(http::Server::ExchangeNo exchange) {
+void PlatformFront::onGone(http::Server::ExchangeId exchange) {
   const auto at = requests_.find(exchange);
   if (at == requests_.end()) return;
   const auto request = at->second;
--- a/src/platform/front.hpp
+++ b/src/platform/front.hpp
@@ -22,17 +22,17 @@
   const http::Server& server() const { return server_; }
 
  private:
-  void onRequest(http::Server::ExchangeNo exchange, const http::Head& head, std::string_view body) override;
-  void onGone(http::Server::ExchangeNo exchange) override;
+  void onRequest(http::Server::ExchangeId exchange, const http::Head& head, std::string_view body) override;
+  void onGone(http::Server::ExchangeId exchange) override;
   void finish(broker::RequestNo request, broker::FinalAnswer answer) override;
-  void handleQuery(http::Server::ExchangeNo exchange, const http::Head& head, std::string_view body);
-  void respondText(http::Server::ExchangeNo exchange, int status, std::string text);
+  void handleQuery(http::Server::ExchangeId exchange, const http::Head& head, std::string_view body);
+  void respondText(http::Server::ExchangeId exchange, int status, std::string text);
 
   broker::Broker& broker_;
   std::function<std::string()> counters_;
   bool up_ = true;
-  std::map<broker::RequestNo, http::Server::ExchangeNo> exchanges_;
-  std::map<http::Server::ExchangeNo, broker::RequestNo> requests_;
+  std::map<broker::RequestNo, http::Server::ExchangeId> exchanges_;
+  std::map<http::Server::ExchangeId, broker::RequestNo> requests_;
   http::Server server_;
 };
 
--- a/src/platform/node_pool.cpp
+++ b/src/platform/node_pool.cpp
@@ -62,8 +62,8 @@
   // Whether a further part may be sent here. Not behind a frame that may never complete, and not if the same
   // part was sent here before, since its answers could not be told apart.
   bool accepts(std::string_view partId, std::size_t streams) const {
-    return attempts.size() < streams && !suspect && !broken && !frameIncomplete && !connection->peerLeft() &&
-           attempts.count(partId) == 0 && !hasFinished(partId);
+    return attempts.size() < streams && !suspect && !broken && !frameIncomplete &&
+           !connection->hasPeerClosed() && attempts.count(partId) == 0 && !hasFinished(partId);
   }
   void onUp(net::Connection&) override { pool.onUp(*this); }
   void onData(net::Connection&) override { pool.onData(*this); }
@@ -90,7 +90,7 @@
 
 // Prefers an established connection with room, then one that is being established, else opens a new one. Null
 // at the connection limit.
-NodePool::Link* NodePool::chooseLink(const Directory::Node& node, std::string_view partId) {
+NodePool::Link* NodePool::chooseConnection(const Directory::Node& node, std::string_view partId) {
   Link* best = nullptr;
   for (auto& [key, link] : links_) {
     if (link->server != node.id || !link->accepts(partId, options_.streamsPerConnection)) continue;
@@ -109,14 +109,14 @@
 bool NodePool::closedByPeer(Link& link) {
   if (!link.connection->up() || !link.attempts.empty()) return false;
   // What this reads concerns finished parts; the loop will not report it again.
-  if (link.connection->readMore()) {
+  if (link.connection->readAvailable()) {
     const std::weak_ptr<Link> weak = links_.at(&link);
     loop_.soon([this, weak] {
       const auto self = weak.lock();
       if (self && links_.count(self.get()) > 0) onData(*self);
     });
   }
-  return link.connection->peerLeft();
+  return link.connection->hasPeerClosed();
 }
 
 NodePool::Link* NodePool::openLink(const Directory::Node& node) {
@@ -148,7 +148,7 @@
   for (const auto& [key, link] : links_)
     if (link->attempts.empty() && (!oldest || link->lastUsed < oldest->lastUsed)) oldest = key;
   if (!oldest) return false;
-  oldest->connection->end(net::ConnectionEnd::closedHere);
+  oldest->connection->end(net::ConnectionEnd::closedLocally);
   return true;
 }
 
@@ -157,7 +157,7 @@
   const auto* node = directory_.find(order.server);
   // Nodes that drain or are gone get no attempts, whatever the broker asks for.
   const bool serves = node && node->entry.state == ServerState::up;
-  auto* link = serves ? chooseLink(*node, order.partId) : nullptr;
+  auto* link = serves ? chooseConnection(*node, order.partId) : nullptr;
   if (!link)
     return onAttemptEnd_(id, Outcome::notSent, {});  // our own connection limit: not the node's fault
   link->attempts[order.partId] = id;
@@ -224,7 +224,7 @@
   link->suspect =
       link->suspect || (link->lastDataAt < attempt.frameWrittenAt && age >= unresponsiveTimeout());
   link->connection->write(writeCancel(attempt.order.partId));
-  if (link->suspect && link->attempts.empty()) link->connection->end(net::ConnectionEnd::closedHere);
+  if (link->suspect && link->attempts.empty()) link->connection->end(net::ConnectionEnd::closedLocally);
 }
 
 Nanos NodePool::unresponsiveTimeout() const {
@@ -291,7 +291,7 @@
   };
   std::vector<Answer> answers;
   std::size_t consumed = 0;
-  auto end = net::ConnectionEnd::badPeer;
+  auto end = net::ConnectionEnd::protocolError;
   while (!link.broken) {
     const auto unread = std::string_view(input).substr(consumed);
     const auto read = readFrame(unread);
@@ -299,7 +299,7 @@
     const char letter = read.frame ? read.frame->letter : '\0';
     if (letter == 'F') {
       log_.line("node.fault", read.frame->rest.substr(0, 200));
-      end = net::ConnectionEnd::peerFault;
+      end = net::ConnectionEnd::peerReportedError;
     }
     const auto reply = letter == 'R' ? readReply(read.frame->rest) : std::nullopt;
     const auto attempt = reply ? link.attempts.find(reply->id) : link.attempts.end();
@@ -348,11 +348,11 @@
     const auto self = links_.at(&link);
     // Timers run before sockets: after a stall of the process the rest may have arrived already.
     const Nanos lastDataAt = link.lastDataAt;
-    if (link.connection->readMore()) onData(link);
+    if (link.connection->readAvailable()) onData(link);
     if (links_.count(self.get()) == 0 || link.lastDataAt != lastDataAt) return;
     link.broken = true;
     link.brokenPartId = partIdOfBrokenReply(link.connection->input());
-    link.connection->end(net::ConnectionEnd::badPeer);
+    link.connection->end(net::ConnectionEnd::protocolError);
   });
 }
 
@@ -363,14 +363,15 @@
   links_.erase(at);
   loop_.cancel(link.frameTimer);
   const auto* node = directory_.find(link.server);
-  if (end != net::ConnectionEnd::closedHere)
+  if (end != net::ConnectionEnd::closedLocally)
     log_.line("node.connection_ended", (node ? node->entry.instance : std::string("?")) + " end=" +
                                            nameOf(end) + " attempts=" + std::to_string(link.attempts.size()));
   std::vector<std::pair<broker::AttemptId, Outcome>> ended;
   for (const auto& [partId, id] : link.attempts) {
     const auto frameEnd = pending_.at(id).frameEnd;
     const bool atFault = partId == link.brokenPartId || link.attempts.size() == 1;
-    const auto cause = end == net::ConnectionEnd::badPeer && !atFault ? net::ConnectionEnd::beside : end;
+    const auto cause =
+        end == net::ConnectionEnd::protocolError && !atFault ? net::ConnectionEnd::beside : end;
     ended.emplace_back(id, net::outcomeOf(cause, frameEnd > 0 && link.connection->written() >= frameEnd));
   }
   for (const auto& [id, outcome] : ended) finish(id, outcome, {});
@@ -392,7 +393,7 @@
   return nodeRestarted(link) || (link.attempts.empty() && !nodeServes(link));
 }
 
-void NodePool::listChanged() {
+void NodePool::onDirectoryChanged() {
   // Withdrawn first: the broker may send these attempts elsewhere, and their connections have less to wait
   // for.
   std::vector<broker::AttemptId> withdrawn;
@@ -404,19 +405,19 @@
   for (const auto& [key, link] : links_)
     if (obsolete(*link)) obsoleteLinks.push_back(link);
   for (const auto& link : obsoleteLinks)
-    link->connection->end(link->attempts.empty() ? net::ConnectionEnd::closedHere
+    link->connection->end(link->attempts.empty() ? net::ConnectionEnd::closedLocally
                                                  : net::ConnectionEnd::replaced);
 }
 
 void NodePool::closeUnused() {
   unusedTimer_ = loop_.after(kCleanupIntervalNs, [this] { closeUnused(); });
-  listChanged();  // connections that still had attempts when their node left
+  onDirectoryChanged();  // connections that still had attempts when their node left
   if (options_.idleTimeout <= 0) return;
   const auto maxIdle = static_cast<Nanos>(kIdleTimeoutShare * static_cast<double>(options_.idleTimeout));
   std::vector<std::shared_ptr<Link>> idle;
   for (const auto& [key, link] : links_)
     if (link->attempts.empty() && loop_.now() - link->lastUsed > maxIdle) idle.push_back(link);
-  for (const auto& link : idle) link->connection->end(net::ConnectionEnd::closedHere);
+  for (const auto& link : idle) link->connection->end(net::ConnectionEnd::closedLocally);
 }
 
 }  // namespace topazweir::platform
--- a/src/platform/node_pool.hpp
+++ b/src/platform/node_pool.hpp
@@ -37,7 +37,7 @@
   // To be called after the directory has changed. Connections to processes that no longer exist are closed.
   // Attempts for nodes that no longer serve end as notSent if nothing of them has been written: they cannot
   // have run.
-  void listChanged();
+  void onDirectoryChanged();
   // Replaces the options; applies from now on.
   void limit(Options options) { options_ = options; }
   // Opens a connection to each serving node that has none, within the limit, so that a process that takes
@@ -60,7 +60,7 @@
     net::Loop::TimerId timeout;
   };
 
-  Link* chooseLink(const Directory::Node& node, std::string_view partId);
+  Link* chooseConnection(const Directory::Node& node, std::string_view partId);
   Link* openLink(const Directory::Node& node);
   bool evictIdleLink();
   bool nodeRestarted(const Link& link) const;
--- a/src/platform/side.cpp
+++ b/src/platform/platform_service.cpp
@@ -1,4 +1,4 @@
-#include "platform/side.hpp"
+#include "platform/platform_service.hpp"
 
 #include <fmt/format.h>
 
@@ -10,8 +10,8 @@
 constexpr std::size_t kMaxLoggedShards = 20;  // of the shards without a holder, in one log line
 }
 
-Side::Side(net::Loop& loop, broker::Log& log, config::Config config, std::function<std::string()> counters,
-           Operated operated)
+PlatformService::PlatformService(net::Loop& loop, broker::Log& log, config::PlatformConfig config,
+                                 std::function<std::string()> counters, OperationHooks operated)
     : log_(log),
       config_(std::move(config)),
       operated_(std::move(operated)),
@@ -25,11 +25,11 @@
   applyKnownList();
   discovery_.emplace(
       loop, log_, Poco::Net::SocketAddress(config_.discovery), config_.zones, generation_,
-      RetryPace(config_.terms.settings.aggregators, config_.pushed, config_.terms.settings.seed),
+      DiscoveryRetryPolicy(config_.terms.settings.aggregators, config_.pushed, config_.terms.settings.seed),
       [this](const auto& list) {
         listReceived_ = true;
         generation_ = list.generation;
-        applyList(list, list.full ? ListNews::Scope::full : ListNews::Scope::changes);
+        applyList(list, list.full ? ServerListUpdate::Scope::full : ServerListUpdate::Scope::changes);
       });
   http::Server::Options options{"platform", Poco::Net::SocketAddress(config_.listen),
                                 descriptorShares().clients};
@@ -38,39 +38,42 @@
   front_.emplace(loop, log_, std::move(options), broker_, std::move(counters));
 }
 
-DescriptorShares Side::descriptorShares() const {
+DescriptorShares PlatformService::descriptorShares() const {
   return DescriptorShares::of(shared_ ? config_.sockets / 2 : config_.sockets, directory_.serving(),
-                              operated_.setApart);
+                              operated_.reservedDescriptors);
 }
 
-void Side::share(bool shared) {
+void PlatformService::share(bool shared) {
   if (std::exchange(shared_, shared) != shared) applyLimits();
 }
 
-void Side::ReportingBackend::start(broker::AttemptOrder order) {
+void PlatformService::ReportingBackend::start(broker::AttemptOrder order) {
   const auto* node = side_.operated_.sent ? side_.directory_.find(order.server) : nullptr;
   if (node) side_.operated_.sent(node->entry.instance, side_.directory_.startedAt(*node));
   side_.pool_.start(std::move(order));
 }
 
-void Side::sentElsewhere(const std::string& instance, Nanos at) {
-  if (const auto* node = directory_.find(std::string_view(instance))) broker_.sentElsewhere(node->id, at);
+void PlatformService::recordSendByOtherProcess(const std::string& instance, Nanos at) {
+  if (const auto* node = directory_.find(std::string_view(instance)))
+    broker_.recordSendByOtherProcess(node->id, at);
 }
 
-void Side::moved(const std::vector<std::string>& instances) { publish(directory_.moved(instances)); }
+void PlatformService::moved(const std::vector<std::string>& instances) {
+  publish(directory_.moved(instances));
+}
 
-NodePool::Options Side::poolOptions() const {
-  return {config_.streamsPerConnection, config_.connectionIdle, config_.connectTimeout,
+NodePool::Options PlatformService::poolOptions() const {
+  return {config_.streamsPerConnection, config_.connectionIdleTimeout, config_.connectTimeout,
           descriptorShares().nodes};
 }
 
-void Side::applyLimits() {
+void PlatformService::applyLimits() {
   pool_.limit(poolOptions());
   if (front_) front_->server().limit(descriptorShares().clients);
 }
 
-std::vector<std::string> Side::reload(config::Config fresh) {
-  const auto keys = config::keepUntilRestart(config_, fresh);
+std::vector<std::string> PlatformService::reload(config::PlatformConfig fresh) {
+  const auto keys = config::resetKeysThatNeedRestart(config_, fresh);
   config_ = std::move(fresh);
   applyLimits();
   broker_.agree(config_.terms);
@@ -78,30 +81,31 @@
   return keys;
 }
 
-void Side::applyKnownList() {
+void PlatformService::applyKnownList() {
   std::string why;
   const auto list = config_.known.empty() ? std::nullopt : readNodeList(config_.known, config_.zones, why);
   if (!list && !config_.known.empty()) throw config::ConfigError("key known: " + why);
   if (list) generation_ = list->generation;
-  applyList(list.value_or(NodeList{}), ListNews::Scope::initial);
+  applyList(list.value_or(NodeList{}), ServerListUpdate::Scope::initial);
 }
 
-void Side::applyList(const NodeList& list, ListNews::Scope scope) {
+void PlatformService::applyList(const NodeList& list, ServerListUpdate::Scope scope) {
   log_.line("discovery.list", "generation=" + std::to_string(list.generation) + " entries=" +
                                   std::to_string(list.entries.size()) + (list.full ? " full" : ""));
   publish(directory_.apply(list, scope));
 }
 
-void Side::publish(ListNews update) {
+void PlatformService::publish(ServerListUpdate update) {
   applyLimits();
-  broker_.told(std::move(update));  // first, so that no attempt starts on a connection about to be closed
-  pool_.listChanged();
+  broker_.updateServers(
+      std::move(update));  // first, so that no attempt starts on a connection about to be closed
+  pool_.onDirectoryChanged();
   updateShardsWithoutHolder();
 }
 
 // Operators may take the last holder of a shard out of service: the call is carried out, and the log says
 // which shards have no holder as a result.
-void Side::updateShardsWithoutHolder() {
+void PlatformService::updateShardsWithoutHolder() {
   const auto& settings = config_.terms.settings;
   auto unserved = directory_.shardsWithoutHolder(settings.shards, settings.cells, settings.reach);
   if (unserved == unserved_) return;
--- a/src/platform/side.hpp
+++ b/src/platform/platform_service.hpp
@@ -17,26 +17,26 @@
 namespace topazweir::platform {
 
 // Hooks and limits that day-to-day operation adds to the service. By default there are none.
-struct Operated {
+struct OperationHooks {
   const operation::Holds* holds = nullptr;  // leafs out of service; must outlive the service
   // Called with each attempt: the leaf, and when its process started.
   std::function<void(const std::string& instance, Nanos startedAt)> sent;
-  std::optional<int> listener;  // inherited descriptor of the clients' listening socket
-  bool accepts = true;          // whether clients are accepted from the start
-  std::size_t setApart = 0;     // descriptors reserved for operators' calls
+  std::optional<int> listener;          // inherited descriptor of the clients' listening socket
+  bool accepts = true;                  // whether clients are accepted from the start
+  std::size_t reservedDescriptors = 0;  // descriptors reserved for operators' calls
 };
 
-class Side {
+class PlatformService {
  public:
   // `counters`: the body of GET /counters, for the whole program. Throws config::ConfigError if the list
   // under the key `known` cannot be read.
-  Side(net::Loop& loop, broker::Log& log, config::Config config, std::function<std::string()> counters,
-       Operated operated = {});
+  PlatformService(net::Loop& loop, broker::Log& log, config::PlatformConfig config,
+                  std::function<std::string()> counters, OperationHooks operated = {});
 
   // Applies what can change at run time; returns the keys that need a restart.
-  std::vector<std::string> reload(config::Config fresh);
+  std::vector<std::string> reload(config::PlatformConfig fresh);
 
-  const config::Config& config() const { return config_; }
+  const config::PlatformConfig& config() const { return config_; }
   PlatformFront& front() { return *front_; }
   const broker::Broker& broker() const { return broker_; }
   const Directory& directory() const { return directory_; }
@@ -46,11 +46,11 @@
   void moved(const std::vector<std::string>& instances);
   // Another process of this aggregator has sent to a leaf; counts against the slow-start limit that both
   // processes share.
-  void sentElsewhere(const std::string& instance, Nanos at);
+  void recordSendByOtherProcess(const std::string& instance, Nanos at);
   // Sets how many aggregators send to the same nodes, and this one's index among them.
   void fleet(int aggregators, int number) { broker_.fleet(aggregators, number); }
   // The process shuts down: all open requests have their final answer by then.
-  void endBy(Nanos at) { broker_.endBy(at); }
+  void setShutdownDeadline(Nanos at) { broker_.setShutdownDeadline(at); }
   // Whether another process of this aggregator runs beside this one: each then keeps to half of the
   // descriptors.
   void share(bool shared);
@@ -67,24 +67,24 @@
   NodePool::Options poolOptions() const;
   void applyLimits();
   void applyKnownList();
-  void applyList(const NodeList& list, ListNews::Scope scope);
-  void publish(ListNews update);
+  void applyList(const NodeList& list, ServerListUpdate::Scope scope);
+  void publish(ServerListUpdate update);
   void updateShardsWithoutHolder();
 
   // Passes attempts on to the pool, and reports each one to the hook `Operated::sent`.
   class ReportingBackend : public broker::Backend {
    public:
-    explicit ReportingBackend(Side& side) : side_(side) {}
+    explicit ReportingBackend(PlatformService& side) : side_(side) {}
     void start(broker::AttemptOrder order) override;
     void cancel(const broker::AttemptId& id) override { side_.pool_.cancel(id); }
 
    private:
-    Side& side_;
+    PlatformService& side_;
   };
 
   broker::Log& log_;
-  config::Config config_;
-  Operated operated_;
+  config::PlatformConfig config_;
+  OperationHooks operated_;
   bool listReceived_ = false;
   bool shared_ = false;  // declared before pool_, whose options depend on it
   net::LoopClock clock_;
--- a/src/platform/query.cpp
+++ b/src/platform/query.cpp
@@ -6,7 +6,7 @@
 #include <charconv>
 #include <cmath>
 
-#include "telemetry/json_text.hpp"
+#include "telemetry/json_string.hpp"
 
 namespace topazweir::platform {
 
@@ -86,7 +86,7 @@
       for (std::size_t i = 0; i < answer.results.size(); ++i) {
         if (i > 0) response.body += ',';
         response.body += R"({"partition":)" + std::to_string(answer.results[i].shard) + R"(,"value":)";
-        response.body += telemetry::jsonText(answer.results[i].value) + '}';
+        response.body += telemetry::quoteJson(answer.results[i].value) + '}';
       }
       response.body += "]}";
       return response;
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -348,8 +348,8 @@
     roundDelays.resize(idx(settings.shards), -1);
     waitingParts.resize(idx(settings.shards), 0);
     firstTryTimes.resize(settings.classes.size());
-    for (const auto& c : settings.classes) longestDeadline = std::max(longestDeadline, c.deadline);
-    for (const auto& c : settings.classes) leastLate = std::max(leastLate, c.leastLate);
+    for (const auto& c : settings.classes) maxDeadline = std::max(maxDeadline, c.deadline);
+    for (const auto& c : settings.classes) minLateTime = std::max(minLateTime, c.minLateTime);
   }
 
   Settings settings;
@@ -357,9 +357,9 @@
   std::mt19937_64 random;
   Nanos now = 0;
   std::int64_t turn = 0;
-  Nanos shortestAim = 0;      // over all classes
-  Nanos longestDeadline = 0;  // over all classes
-  Nanos leastLate = 0;        // longest QueryClass::leastLate
+  Nanos shortestAim = 0;  // over all classes
+  Nanos maxDeadline = 0;  // over all classes
+  Nanos minLateTime = 0;  // longest QueryClass::minLateTime
   std::vector<Action> actions;
 
   Nanos lastPeerMessageAt = -1;           // below 0: never
@@ -412,14 +412,14 @@
 
   // ---- server list ----
 
-  void onEvent(const ListNews& update) {
-    if (update.scope == ListNews::Scope::failed) {
+  void onEvent(const ServerListUpdate& update) {
+    if (update.scope == ServerListUpdate::Scope::failed) {
       scheduleListRequest(true);
       return;
     }
-    if (update.scope == ListNews::Scope::initial) scheduleListRequest(false);
+    if (update.scope == ServerListUpdate::Scope::initial) scheduleListRequest(false);
     listRetryWait = 0;
-    if (update.scope != ListNews::Scope::changes)  // servers that a full list omits have left
+    if (update.scope != ServerListUpdate::Scope::changes)  // servers that a full list omits have left
       for (auto& [id, server] : servers) server.state = ServerState::gone;
     for (const auto& entry : update.entries) applyEntry(entry);
     evictGoneServers();
@@ -475,13 +475,14 @@
 
   // Schedules the next request for the server list: at once, or after a failure with exponential backoff
   // and jitter, since instances restarted together would otherwise overload discovery. The wait never
-  // exceeds half of Settings::askWithin (four shortest aims where that is unset), so that updates still
-  // arrive in time.
+  // exceeds half of Settings::listRequestInterval (four shortest aims where that is unset), so that updates
+  // still arrive in time.
   void scheduleListRequest(bool failed) {
     if (!settings.listOnRequest) return;
     listRequestAt = now;
     if (!failed) return;
-    const double most = num(settings.askWithin > 0 ? settings.askWithin : shortestAim * 4) / 2;
+    const double most =
+        num(settings.listRequestInterval > 0 ? settings.listRequestInterval : shortestAim * 4) / 2;
     listRetryWait = std::min(most, listRetryWait > 0 ? listRetryWait * 2 : num(shortestAim) / 2);
     listRequestAt += nanos(listRetryWait * (0.5 + uniform01() / 2));
   }
@@ -506,7 +507,7 @@
     for (const auto* r : list)
       bytes += {static_cast<char>(r->messageCode >> 8), static_cast<char>(r->messageCode & 255)};
     for (std::size_t i = 0; i < bytes.size() && settings.messages; i += 2 * kMaxServersPerMessage)
-      actions.push_back(Tell{bytes.substr(i, 2 * kMaxServersPerMessage) + kind, std::nullopt});
+      actions.push_back(SendToPeers{bytes.substr(i, 2 * kMaxServersPerMessage) + kind, std::nullopt});
   }
 
   void onEvent(const PeerMessage& e) {
@@ -625,15 +626,16 @@
     const double late =
         hasSamples() ? std::min(most, std::max(kLateP90Ratio * p90Delay, kLateMedianRatio * medianDelay))
                      : most;
-    return std::max(late, num(cls.leastLate));
+    return std::max(late, num(cls.minLateTime));
   }
 
   // Share of its capacity that a server of this age has.
   double warmth(Nanos age) const {
-    if (settings.coldFor <= 0 || age >= settings.coldFor) return 1;
-    return settings.coldFrom + (1 - settings.coldFrom) * num(std::max<Nanos>(age, 0)) / num(settings.coldFor);
+    if (settings.warmUpTime <= 0 || age >= settings.warmUpTime) return 1;
+    return settings.coldCapacityShare +
+           (1 - settings.coldCapacityShare) * num(std::max<Nanos>(age, 0)) / num(settings.warmUpTime);
   }
-  bool isCold(const Server& r) const { return r.startedAt > 0 && now - r.startedAt < settings.coldFor; }
+  bool isCold(const Server& r) const { return r.startedAt > 0 && now - r.startedAt < settings.warmUpTime; }
 
   // Mean of the last delays of a shard's holders, ns; below 0: none is known.
   double meanShardDelay(int shard) const {
@@ -754,7 +756,7 @@
     // Settings::drainGrace is not used: the update that announces the drain may be late itself.
     if (r.state != ServerState::up || now < r.blockedUntil || part.hasAttemptAt(r, true) || r.atLimit())
       return false;
-    if (settings.tipMultiple <= 0 || !isCold(r)) return true;
+    if (settings.overloadMultiple <= 0 || !isCold(r)) return true;
     // Slow start. A cold server gets at most this aggregator's fair share of the load that would overload it,
     // computed for the warmth at the start of the window and for a single core, since neither the cores nor
     // the traffic of others are known. Where the share is less than one part the window is stretched; each
@@ -766,12 +768,12 @@
     // The fewer instances there are, the less their sum evens out an estimate of work that is too low by
     // chance, so that the estimate's minimum is higher.
     const double workPerPart = std::max(partWork(unqueued()), kMinWorkRatio / windows * partWork(fullSetP10));
-    const double share = kFairShareUsed * settings.tipMultiple *
-                         warmth(now - r.startedAt - settings.tipWindow) * num(settings.tipWindow) /
+    const double share = kFairShareUsed * settings.overloadMultiple *
+                         warmth(now - r.startedAt - settings.overloadWindow) * num(settings.overloadWindow) /
                          settings.aggregators;
-    const double window = num(settings.tipWindow) * std::max(windows, workPerPart / share);
+    const double window = num(settings.overloadWindow) * std::max(windows, workPerPart / share);
     const double phase = num(settings.number % settings.aggregators) / settings.aggregators;
-    if (num(now - r.startedAt) < phase * (window - num(settings.tipWindow))) return false;
+    if (num(now - r.startedAt) < phase * (window - num(settings.overloadWindow))) return false;
     const auto recent = std::count_if(r.recentSends.begin(), r.recentSends.end(),
                                       [&](Nanos at) { return num(now - at) < window; });
     return num(recent + 1) * workPerPart <= std::max(windows * share, workPerPart);
@@ -781,11 +783,11 @@
   bool mayAttempt(const Query& q, const Part& part) {
     if (part.delivered || part.step != q.step || now >= q.dueAt) return false;
     if (part.attempts.empty()) return true;
-    if (num(part.attempts.size()) >= limitOf(settings, *q.cls)) return false;
+    if (num(part.attempts.size()) >= maxAttemptsFor(settings, *q.cls)) return false;
     // Protects a fleet whose queues are full: if all aggregators retried rejected parts at all other holders
     // the queues would stay full.
     if (part.attempts.back().rejected && unseenShare() > 0 && rejectedRetryTokens < 1) return false;
-    if (part.isInFlight() && !(settings.secondCopies && q.cls->copies)) return false;
+    if (part.isInFlight() && !(settings.hedging && q.cls->copies)) return false;
     for (const auto& a : part.attempts) {
       if (!a.mayHaveRun) continue;
       if (q.cls->effect == Effect::unsafe) return false;
@@ -800,10 +802,11 @@
   // Whether another attempt fits into the given share of the retry budget.
   bool withinRetryBudget(double share) {
     if (!settings.budget) return true;
-    const AttemptBudget& budget = *settings.budget;
+    const RetryBudget& budget = *settings.budget;
     while (!acceptedAt.empty() && acceptedAt.front() <= now - budget.window) acceptedAt.pop_front();
     while (!retriedAt.empty() && retriedAt.front() < now - budget.window) retriedAt.pop_front();
-    return num(retriedAt.size() + 1) <= share * (budget.free + budget.perTaken * num(acceptedAt.size()));
+    return num(retriedAt.size() + 1) <=
+           share * (budget.free + budget.attemptsPerAccepted * num(acceptedAt.size()));
   }
 
   // ---- sending ----
@@ -840,7 +843,7 @@
     if (r.inFlight.empty()) r.waitingSince = now;
     r.inFlight.insert(now);
     r.recentSends.push_back(now);
-    while (r.recentSends.front() <= now - std::max({settings.tipWindow, settings.coldFor, Nanos{1}}))
+    while (r.recentSends.front() <= now - std::max({settings.overloadWindow, settings.warmUpTime, Nanos{1}}))
       r.recentSends.pop_front();
     auto& record = r.shardRecords[idx(part.shard)];
     ++record.pending;
@@ -881,7 +884,7 @@
   }
 
   bool mayHedge(const QueryClass& cls) const {
-    return settings.secondCopies && cls.copies && cls.effect == Effect::safe;
+    return settings.hedging && cls.copies && cls.effect == Effect::safe;
   }
 
   // Probes ejected servers with hedged requests of parts that are in flight elsewhere, so that no query has
@@ -1116,7 +1119,7 @@
   // moving the load would only add to it.
   void ejectUnresponsive() {
     const double limit =
-        kUnresponsiveLateTimes * std::max(lateAfter(settings.classes.front()), num(leastLate));
+        kUnresponsiveLateTimes * std::max(lateAfter(settings.classes.front()), num(minLateTime));
     int waitedFor = 0;  // servers that parts wait for
     std::vector<Server*> unresponsive;
     for (auto& [id, r] : servers) {
@@ -1158,8 +1161,8 @@
     const bool same = std::abs(e.timeLeft - usual) <= usual / 100;
     if (!e.repeat) votes = std::clamp(votes + (same ? 1 : -1), 0, kMaxTryTimeVotes);
     if (!e.repeat && votes == 0) usual = e.timeLeft;
-    if (settings.repeatsMarked ? !e.repeat : num(e.timeLeft) < kImpatientClientShare * num(cls.aim)) return 0;
-    if (same || (!settings.repeatsMarked && votes < kMaxTryTimeVotes / 2)) return 0;
+    if (settings.retriesMarked ? !e.repeat : num(e.timeLeft) < kImpatientClientShare * num(cls.aim)) return 0;
+    if (same || (!settings.retriesMarked && votes < kMaxTryTimeVotes / 2)) return 0;
     return std::clamp<Nanos>(cls.deadline - e.timeLeft, 0, cls.deadline);
   }
 
@@ -1219,7 +1222,7 @@
     if (q.step == 1) {
       const bool wide = q.parts.size() > 1 && kWideQueryShare * num(servers.size()) < num(q.parts.size());
       const bool breakages =
-          lastBreakageAt >= 0 && now - lastBreakageAt < kBreakageMemoryDeadlines * longestDeadline;
+          lastBreakageAt >= 0 && now - lastBreakageAt < kBreakageMemoryDeadlines * maxDeadline;
       const bool hasTime = hedgingShare() > 0 && 2 * (medianDelay + 2 * p90Delay) < num(q.cls->aim);
       q.suspect = (breakages && q.isRetry) || ((breakages || wide) && hasSamples() && hasTime);
       q.held = q.suspect;
--- a/src/sim/wire.cpp
+++ b/src/sim/wire.cpp
@@ -160,27 +160,27 @@
   settings.partsPerCall = static_cast<int>(info.integer("familyInfo.partsACall", 1));
   settings.callOverhead = info.integer("familyInfo.overheadNs", 0);
   settings.maxAttempts = static_cast<int>(info.integer("limits.maxAttempts", 1));
-  settings.secondCopies = info.flag("limits.secondCopies", false);
+  settings.hedging = info.flag("limits.secondCopies", false);
   settings.cancelling = info.flag("limits.cancelling", false);
   settings.messages = info.flag("limits.mayTell", false);
-  settings.repeatsMarked = info.flag("clients.marksRetry", true);
+  settings.retriesMarked = info.flag("clients.marksRetry", true);
   settings.retryAfter = info.flag("limits.retryAfter", false);
   settings.maxRetryAfter = info.integer("limits.maxRetryAfterNs", 0);
   settings.answerSlack = info.integer("guarantees.graceToAnswerNs", 0);
   settings.listOnRequest = info.text("discovery", "pushed") == "on_request";
-  settings.askWithin = info.integer("guarantees.askWithinNs", 0);
-  settings.coldFrom = info.number("guarantees.coldFrom", 1);
-  settings.coldFor = info.integer("guarantees.coldNs", 0);
-  settings.tipMultiple = info.number("guarantees.tipMultiple", 0);
-  settings.tipWindow = info.integer("guarantees.overloadForNs", 0);
+  settings.listRequestInterval = info.integer("guarantees.askWithinNs", 0);
+  settings.coldCapacityShare = info.number("guarantees.coldFrom", 1);
+  settings.warmUpTime = info.integer("guarantees.coldNs", 0);
+  settings.overloadMultiple = info.number("guarantees.tipMultiple", 0);
+  settings.overloadWindow = info.integer("guarantees.overloadForNs", 0);
   settings.drainGrace = info.integer("guarantees.drainGraceNs", 0);
   settings.wastePrice = info.number("tariffs.waste", 0);
   settings.lateFailPrice = info.number("tariffs.lateFail", 0);
   settings.crossZonePrice = info.number("tariffs.crossZone", 0);
   if (info.has("guarantees.countedOverNs")) {
     settings.budget =
-        AttemptBudget{info.integer("guarantees.countedOverNs"), info.number("guarantees.minExtra", 0),
-                      info.number("guarantees.extraRatio", 0)};
+        RetryBudget{info.integer("guarantees.countedOverNs"), info.number("guarantees.minExtra", 0),
+                    info.number("guarantees.extraRatio", 0)};
   }
   static constexpr std::int64_t kMaxClasses = 1000;
   const auto count = info.integer("profiles.count", 0);
@@ -308,16 +308,16 @@
   auto& instance = found->second;
   if (std::find(pending_.begin(), pending_.end(), who) == pending_.end()) pending_.push_back(who);
   if (kind == "view") {
-    ListNews update;
+    ServerListUpdate update;
     const auto scope = fields.text("scope");
     if (scope == "X") {
-      update.scope = ListNews::Scope::failed;
+      update.scope = ServerListUpdate::Scope::failed;
     } else {
       if (scope != "D" && scope != "F" && scope != "C")
         throw WireError("field scope: unknown scope '" + std::string(scope.substr(0, 40)) + "'");
-      update.scope = scope == "D"   ? ListNews::Scope::changes
-                     : scope == "F" ? ListNews::Scope::full
-                                    : ListNews::Scope::initial;
+      update.scope = scope == "D"   ? ServerListUpdate::Scope::changes
+                     : scope == "F" ? ServerListUpdate::Scope::full
+                                    : ServerListUpdate::Scope::initial;
       const auto list = serverLists_.find(fields.integer("list"));
       if (list == serverLists_.end()) throw WireError("field list: no such list");
       update.entries = list->second;
@@ -386,7 +386,7 @@
   void operator()(const SetTimer& a) const {
     startLine("timer") << " keyBack=" << a.token << " waitNs=" << a.wait << '\n';
   }
-  void operator()(const Tell& a) const {
+  void operator()(const SendToPeers& a) const {
     startLine("share") << " target=" << (a.peer ? std::to_string(*a.peer) : "all")
                        << " msg=" << encodeBase64(a.bytes) << '\n';
   }
--- a/src/telemetry/json_text.cpp
+++ b/src/telemetry/json_string.cpp
@@ -1,8 +1,8 @@
-#include "telemetry/json_text.hpp"
+#include "telemetry/json_string.hpp"
 
 namespace topazweir::telemetry {
 
-std::string jsonText(std::string_view text) {
+std::string quoteJson(std::string_view text) {
   constexpr std::string_view kHexDigits = "0123456789abcdef";
   std::string out = "\"";
   for (const char c : text) {
--- a/src/telemetry/json_text.hpp
+++ b/src/telemetry/json_string.hpp
@@ -7,6 +7,6 @@
 namespace topazweir::telemetry {
 
 // Returns the text as a JSON string literal, including the quotes. Bytes from 0x80 on are copied unchanged.
-std::string jsonText(std::string_view text);
+std::string quoteJson(std::string_view text);
 
 }  // namespace topazweir::telemetry
--- a/src/telemetry/log_writer.cpp
+++ b/src/telemetry/log_writer.cpp
@@ -9,7 +9,7 @@
 #include <chrono>
 #include <vector>
 
-#include "telemetry/json_text.hpp"
+#include "telemetry/json_string.hpp"
 
 namespace topazweir::telemetry {
 
@@ -109,9 +109,9 @@
   std::string text;
   std::vector<std::pair<std::string, std::string>> pairs;
   splitPairs(words, text, pairs);
-  auto out = fmt::format(R"({{"ts":"{}","level":"{}","event":{})", formatTime(now), level, jsonText(event));
-  if (!text.empty()) out += R"(,"text":)" + jsonText(text);
-  for (const auto& [key, value] : pairs) out += "," + jsonText(key) + ":" + jsonText(value);
+  auto out = fmt::format(R"({{"ts":"{}","level":"{}","event":{})", formatTime(now), level, quoteJson(event));
+  if (!text.empty()) out += R"(,"text":)" + quoteJson(text);
+  for (const auto& [key, value] : pairs) out += "," + quoteJson(key) + ":" + quoteJson(value);
   return out + "}";
 }
 
--- a/tests/agreement_test.cpp
+++ b/tests/agreement_test.cpp
@@ -282,9 +282,9 @@
         !held.apply({"", "v", 0}).done);
   CHECK(!held.apply({"l", std::string(Register::kMaxValueBytes + 1, 'v'), 0}).done);
   CHECK(Register::read(held.write()) == held);
-  const auto bytes = held.write(), command = writeCommand({"k", "v", 7});
+  const auto bytes = held.write(), command = serializeCommand({"k", "v", 7});
   for (std::size_t i = 0; i < bytes.size(); ++i) CHECK(!Register::read(bytes.substr(0, i)));
-  for (std::size_t i = 0; i < command.size(); ++i) CHECK(!readCommand(command.substr(0, i)));
+  for (std::size_t i = 0; i < command.size(); ++i) CHECK(!deserializeCommand(command.substr(0, i)));
   for (std::size_t i = 0; i < Register::kMaxKeys; ++i) held.apply({"n" + std::to_string(i), "v", 0});
   CHECK(held.all().size() == Register::kMaxKeys && !held.apply({"one more", "v", 0}).done);
 }
@@ -303,7 +303,7 @@
 // A file truncated at any byte opens with the state after one of its records; one that is altered before its
 // last record, or is in use, is rejected.
 void fileStoreRestoresState(std::uint64_t seed) {
-  const auto path = scratchFolder("agreement") + "/voter." + std::to_string(seed);
+  const auto path = temporaryFolder("agreement") + "/voter." + std::to_string(seed);
   std::mt19937_64 random(seed);
   auto file = std::make_unique<FileStore>(path);
   MemoryStore memory;
--- a/tests/broker_test.cpp
+++ b/tests/broker_test.cpp
@@ -14,9 +14,9 @@
 // The core together with its fake clock, backend and front.
 struct Simulation : broker::Clock, broker::Backend, broker::Front {
   explicit Simulation(broker::Terms terms) : core(std::move(terms), *this, *this, log) {
-    ListNews list;
+    ServerListUpdate list;
     for (ServerId id = 1; id <= 2; ++id) list.entries.push_back({.server = id});
-    core.told(list);
+    core.updateServers(list);
   }
   Nanos now() const override { return time; }
   bool gathering() const override { return isGathering; }
@@ -68,14 +68,14 @@
   t.settings.tick = 5 * kMs;
   t.settings.shards = 2;
   t.settings.maxAttempts = 4;
-  t.settings.secondCopies = true;
+  t.settings.hedging = true;
   t.settings.cancelling = true;
   t.settings.retryAfter = true;
   t.settings.maxRetryAfter = 2000 * kMs;
   t.settings.classes = {
       QueryClass{.name = "a", .aim = 500 * kMs, .deadline = 1000 * kMs, .lateWorth = 0.3, .floor = 0.5}};
   t.contracts = {{"coast", 0.6, 2}, {"rift", 0.4, 0}};
-  t.longestDeadline = 5000 * kMs;
+  t.maxDeadline = 5000 * kMs;
   t.maxOpen = 9;
   return t;
 }
@@ -128,11 +128,11 @@
 
 void drainingServersGetNoAttempts() {
   Simulation sim(terms());
-  ListNews update;
-  update.scope = ListNews::Scope::changes;
+  ServerListUpdate update;
+  update.scope = ServerListUpdate::Scope::changes;
   for (ServerId id = 1; id <= 2; ++id)
     update.entries.push_back({.server = id, .state = ServerState::draining});
-  sim.core.told(update);
+  sim.core.updateServers(update);
   const auto no = sim.take(sim.request("q"));
   CHECK(sim.orders.empty() && sim.finals[no].size() == 1);  // no server is left, so it is answered at once
   CHECK(sim.finals[no][0].second.verdict == broker::Verdict::refused &&
@@ -199,7 +199,7 @@
       for (const auto& order : std::vector(sim.orders))
         if (order.id.request == unsafe && order.id.part == 0) sim.core.attemptEnded(order.id, *took, "value");
     const Nanos by = sim.time + 200 * kMs;
-    sim.core.endBy(by);
+    sim.core.setShutdownDeadline(by);
     auto late = sim.request("late");
     late.timeLeft = 900 * kMs;
     const auto last = sim.take(late);
@@ -261,7 +261,7 @@
       [&](auto event, auto text) { out.append(event).append(text.empty() ? "" : " ").append(text) += '\n'; },
       [&] { return now; });
   for (int i = 0; i < 100; ++i) log.line("x", "text\nforged");
-  CHECK(std::count(out.begin(), out.end(), '\n') == broker::Log::kMostPerSecond);
+  CHECK(std::count(out.begin(), out.end(), '\n') == broker::Log::kMaxLinesPerSecond);
   now = 2'000'000'000;
   log.line("x", "");
   CHECK(out.find("x suppressed=95\nx\n") != std::string::npos);
--- a/tests/calls_test.cpp
+++ b/tests/calls_test.cpp
@@ -5,14 +5,14 @@
 #include <set>
 
 #include "calls/call.hpp"
-#include "calls/links.hpp"
+#include "calls/connection_choice.hpp"
 #include "calls/routes.hpp"
 #include "calls/shard.hpp"
 #include "calls/timeout.hpp"
 #include "check.hpp"
 #include "cuts.hpp"
 #include "grpc/health.hpp"
-#include "http2/guard.hpp"
+#include "http2/flood_guard.hpp"
 
 namespace topazweir::test {
 namespace {
@@ -22,18 +22,18 @@
 constexpr Nanos kSecond = 1000 * kMs;
 
 void statuses() {
-  for (int i = 0; i < kCodes; ++i) {
+  for (int i = 0; i < kStatusCodeCount; ++i) {
     const auto code = static_cast<Code>(i);
-    CHECK(codeNamed(nameOf(code)) == code && readCode(std::to_string(i)) == code);
+    CHECK(parseStatusName(nameOf(code)) == code && parseStatusCode(std::to_string(i)) == code);
   }
-  CHECK(!codeNamed("NOPE") && readCode("17") == Code::unknown && !readCode("") && !readCode("x") &&
-        !readCode("1 "));
-  CHECK(meaningOf(Code::notFound).counted == Class::answered &&
-        meaningOf(Code::unavailable).counted == Class::refused);
-  CHECK(codeOfHttp(404) == Code::unimplemented && codeOfHttp(503) == Code::unavailable &&
-        codeOfHttp(418) == Code::unknown);
+  CHECK(!parseStatusName("NOPE") && parseStatusCode("17") == Code::unknown && !parseStatusCode("") &&
+        !parseStatusCode("x") && !parseStatusCode("1 "));
+  CHECK(interpretStatus(Code::notFound).counted == CallResult::answered &&
+        interpretStatus(Code::unavailable).counted == CallResult::refused);
+  CHECK(codeFromHttpStatus(404) == Code::unimplemented && codeFromHttpStatus(503) == Code::unavailable &&
+        codeFromHttpStatus(418) == Code::unknown);
   // Only these endings prove that the call did not run: RFC 9113 section 8.7.
-  const std::set<Ending> notRun = {Ending::aboveGoaway, Ending::lostBefore, Ending::noStream};
+  const std::set<Ending> notRun = {Ending::aboveGoaway, Ending::lostBeforeSend, Ending::noStream};
   for (int e = 0; e <= static_cast<int>(Ending::tooLarge); ++e)
     for (std::uint32_t http2 = 0; http2 < 20; ++http2) {
       const Ended ended{static_cast<Ending>(e), http2, Code::unavailable, 503};
@@ -49,22 +49,22 @@
 }
 
 void timeouts() {
-  CHECK(readTimeout("1H") == 3600 * kSecond && readTimeout("2M") == 120 * kSecond &&
-        readTimeout("3S") == 3 * kSecond);
-  CHECK(readTimeout("250m") == 250 * kMs && readTimeout("7u") == 7000 &&
-        readTimeout("99999999n") == 99'999'999);
-  CHECK(readTimeout("0n") == 0 && readTimeout("99999999H") > 0);
+  CHECK(parseTimeout("1H") == 3600 * kSecond && parseTimeout("2M") == 120 * kSecond &&
+        parseTimeout("3S") == 3 * kSecond);
+  CHECK(parseTimeout("250m") == 250 * kMs && parseTimeout("7u") == 7000 &&
+        parseTimeout("99999999n") == 99'999'999);
+  CHECK(parseTimeout("0n") == 0 && parseTimeout("99999999H") > 0);
   for (const auto* bad : {"", "5", "S", "123456789S", "-1S", "1.5S", "1s", "1 S", " 1S", "1SS", "S1"})
-    CHECK(!readTimeout(bad));
+    CHECK(!parseTimeout(bad));
   std::mt19937_64 random(3);
   for (int i = 0; i < 20'000; ++i) {
     const Nanos left = static_cast<Nanos>(random() >> (random() % 60 + 3));
-    const auto back = readTimeout(writeTimeout(left));
+    const auto back = parseTimeout(formatTimeout(left));
     CHECK(back && *back <= std::max<Nanos>(left, 1) && *back >= left - left / 1000 - 1);
-    CHECK(writeTimeout(left).size() <= 9);
+    CHECK(formatTimeout(left).size() <= 9);
   }
-  CHECK(writeTimeout(-5) == "1n" && timeFor(std::nullopt, 7) == 7 && timeFor(9, 7) == 7 &&
-        timeFor(3, 7) == 3);
+  CHECK(formatTimeout(-5) == "1n" && effectiveTimeout(std::nullopt, 7) == 7 && effectiveTimeout(9, 7) == 7 &&
+        effectiveTimeout(3, 7) == 3);
 }
 
 Fields request(std::string path = "/a.B/C") {
@@ -75,21 +75,21 @@
 }
 
 void fields() {
-  CHECK(!faultOf(request()));
+  CHECK(!validateRequest(request()));
   auto bad = request();
   bad[2].value = "application/json";
-  CHECK(faultOf(bad)->http == 415);
+  CHECK(validateRequest(bad)->http == 415);
   bad[2].value = "application/grpcx";
-  CHECK(faultOf(bad)->http == 415);
+  CHECK(validateRequest(bad)->http == 415);
   bad[2].value = "application/grpc+proto";
-  CHECK(!faultOf(bad));
+  CHECK(!validateRequest(bad));
   bad.push_back({"grpc-timeout", "soon"});
-  CHECK(faultOf(bad)->code == Code::internal);
-  CHECK(faultOf(request("/nothing"))->code == Code::unimplemented &&
-        faultOf(request("//x"))->code == Code::unimplemented);
+  CHECK(validateRequest(bad)->code == Code::internal);
+  CHECK(validateRequest(request("/nothing"))->code == Code::unimplemented &&
+        validateRequest(request("//x"))->code == Code::unimplemented);
   auto noTe = request();
   noTe.pop_back();
-  CHECK(faultOf(noTe)->code == Code::internal);
+  CHECK(validateRequest(noTe)->code == Code::internal);
 
   auto head = request();
   const std::vector<std::string> more = {"connection",
@@ -111,7 +111,7 @@
   for (std::size_t i = 0; i < more.size(); i += 2) head.push_back({more[i], more[i + 1]});
   const auto sent = toBackend(head, "127.0.0.1:1", 1, 250 * kMs);
   CHECK(!find(sent, "connection") && !find(sent, "keep-alive") && find(sent, "te") == "trailers");
-  CHECK(readTimeout(*find(sent, "grpc-timeout")) <= 250 * kMs &&
+  CHECK(parseTimeout(*find(sent, "grpc-timeout")) <= 250 * kMs &&
         find(sent, "grpc-previous-rpc-attempts") == "3");
   CHECK(find(sent, "x-bin") == "AAE=" && find(sent, "grpc-encoding") == "gzip" &&
         find(sent, ":authority") == "127.0.0.1:1");
@@ -120,18 +120,18 @@
   const auto pushback = [](const std::string& value) {
     Fields trailers;
     trailers.push_back({"grpc-retry-pushback-ms", value});
-    return readPushback(trailers);
+    return parsePushback(trailers);
   };
-  CHECK(!readPushback({}).given && pushback("-1").stop && pushback("x").stop &&
+  CHECK(!parsePushback({}).given && pushback("-1").stop && pushback("x").stop &&
         pushback("40").wait == 40 * kMs);
 }
 
 // Compares the trie with a reference implementation: a scan of all routes for the most specific match.
 void routes() {
-  const auto reference = [](const std::vector<Match>& matches, const Fields& head) {
+  const auto reference = [](const std::vector<RouteMatch>& matches, const Fields& head) {
     std::optional<std::size_t> best;
-    const auto path = *readPath(*find(head, ":path"));
-    const auto score = [](const Match& m) {
+    const auto path = *parsePath(*find(head, ":path"));
+    const auto score = [](const RouteMatch& m) {
       const auto depth = std::count(m.service.begin(), m.service.end(), '.') + (m.service.empty() ? 0 : 1);
       return std::tuple(static_cast<int>(m.kind), depth, !m.authority.empty(), m.exact.size(),
                         m.present.size());
@@ -141,9 +141,9 @@
       const bool prefix = path.service.size() > m.service.size() &&
                           path.service.substr(0, m.service.size()) == m.service &&
                           (m.service.empty() || path.service[m.service.size()] == '.');
-      bool good = m.kind == Match::Kind::any || (m.kind == Match::Kind::prefix && prefix) ||
-                  (m.kind >= Match::Kind::service && path.service == m.service &&
-                   (m.kind == Match::Kind::service || path.method == m.method));
+      bool good = m.kind == RouteMatch::Kind::any || (m.kind == RouteMatch::Kind::prefix && prefix) ||
+                  (m.kind >= RouteMatch::Kind::service && path.service == m.service &&
+                   (m.kind == RouteMatch::Kind::service || path.method == m.method));
       good = good && (m.authority.empty() || find(head, ":authority") == m.authority);
       for (const auto& f : m.exact) good = good && find(head, f.name) == f.value;
       for (const auto& name : m.present) good = good && find(head, name);
@@ -155,12 +155,12 @@
   const auto pick = [&](const std::vector<std::string>& words) { return words[random() % words.size()]; };
   int equal = 0, compared = 0;
   for (int round = 0; round < 3000; ++round) {
-    std::vector<Match> matches;
+    std::vector<RouteMatch> matches;
     for (std::size_t i = 0; i < 1 + random() % 6; ++i) {
-      Match m;
-      m.kind = static_cast<Match::Kind>(random() % 4);
-      if (m.kind != Match::Kind::any) m.service = pick({"a", "a.b", "a.b.C", "a.B", "d.C"});
-      if (m.kind == Match::Kind::method) m.method = pick({"M", "N"});
+      RouteMatch m;
+      m.kind = static_cast<RouteMatch::Kind>(random() % 4);
+      if (m.kind != RouteMatch::Kind::any) m.service = pick({"a", "a.b", "a.b.C", "a.B", "d.C"});
+      if (m.kind == RouteMatch::Kind::method) m.method = pick({"M", "N"});
       if (random() % 3 == 0) m.authority = pick({"one", "two"});
       if (random() % 3 == 0) m.exact.push_back({"k", pick({"1", "2"})});
       if (random() % 3 == 0) m.present.push_back("p");
@@ -182,8 +182,8 @@
     }
   }
   CHECK(equal > 100 && compared > 10'000);
-  Match a, b;
-  a.kind = b.kind = Match::Kind::service;
+  RouteMatch a, b;
+  a.kind = b.kind = RouteMatch::Kind::service;
   a.service = b.service = "x.Y";
   a.exact = {{"k", "1"}};
   b.exact = {{"k", "2"}};  // no call matches both
@@ -198,8 +198,8 @@
   std::mt19937 random(5);
   int committed = 0, passed = 0;
   for (int round = 0; round < 20'000; ++round) {
-    Pressure pressure;
-    Policy policy;
+    BufferBudget pressure;
+    CallPolicy policy;
     policy.replay = random() % 3 * 500;
     policy.message = 1'000'000;
     {
@@ -243,7 +243,7 @@
             out.erase(out.begin() + static_cast<long>(at));
             Ended ended{static_cast<Ending>(random() % 10),
                         static_cast<std::uint32_t>(random() % 14),
-                        static_cast<Code>(random() % kCodes),
+                        static_cast<Code>(random() % kStatusCodeCount),
                         {}};
             Fields trailers;
             if (ended.ending == Ending::trailers)
@@ -272,7 +272,7 @@
             if (owner) {
               taken = std::max(taken, call.request().end() -
                                           std::min<std::uint64_t>(call.request().end(), random() % 300));
-              acknowledged += call.requestTaken(taken);
+              acknowledged += call.requestConsumed(taken);
               CHECK(acknowledged <= call.request().end());
             }
             break;
@@ -286,7 +286,7 @@
       }
       if (owner) ++committed;
       if (!final) {
-        const auto end = call.finish(Class::failed, true, 0);
+        const auto end = call.finish(CallResult::failed, true, 0);
         CHECK(end.code == Code::deadlineExceeded && end.trailers.size() == 2);
         CHECK(!call.commit(0) || owner == 0);
       }
@@ -295,7 +295,7 @@
   }
   CHECK(committed > 1000 && passed > 1000);
 
-  Pressure tight;
+  BufferBudget tight;
   tight.most = 1000;
   Call first({}, tight), second({}, tight);
   first.started(0);
@@ -303,9 +303,9 @@
   CHECK(first.requestData(std::string(999, 'x')) && !first.outgrown());
   CHECK(!second.requestData("xx") && second.outgrown() == 0);  // no buffer left for a replay: it is committed
 
-  Pressure pressure;
+  BufferBudget pressure;
   Call refused({}, pressure);
-  const auto end = refused.finish(Class::refused, false, 40 * kMs);
+  const auto end = refused.finish(CallResult::refused, false, 40 * kMs);
   CHECK(end.code == Code::unavailable && find(end.trailers, "grpc-retry-pushback-ms") == "40");
   Call waits({}, pressure);
   waits.started(0);
@@ -315,11 +315,11 @@
   waits.started(1);
   // Too little time for the retry: the status is passed on with its pushback.
   CHECK(waits.ended(1, busy, later, 20 * kMs).final);
-  CHECK(find(waits.finish(Class::refused, false, 0).trailers, "grpc-retry-pushback-ms") == "30");
+  CHECK(find(waits.finish(CallResult::refused, false, 0).trailers, "grpc-retry-pushback-ms") == "30");
 }
 
 void buffersAndMessages() {
-  Pressure pressure;
+  BufferBudget pressure;
   pressure.most = 100;
   Body body(pressure);
   std::string all;
@@ -344,24 +344,25 @@
     stream += std::string{'\0', static_cast<char>(size >> 24), static_cast<char>(size >> 16),
                           static_cast<char>(size >> 8), static_cast<char>(size)} +
               std::string(size, 'm');
-  sameAtEveryCut(stream.substr(0, 400), [](const std::vector<std::string>& pieces) {
-    Meter meter;
+  checkSplitInvariance(stream.substr(0, 400), [](const std::vector<std::string>& pieces) {
+    MessageMeter meter;
     for (const auto& p : pieces) CHECK(meter.take(p, 100'000));
     return std::to_string(meter.messages()) + (meter.betweenMessages() ? " between" : " within");
   });
-  Meter meter;
+  MessageMeter meter;
   CHECK(meter.take(stream, 70'000) && meter.messages() == 4 && meter.betweenMessages());
-  CHECK(!Meter().take(stream, 69'999));
+  CHECK(!MessageMeter().take(stream, 69'999));
 }
 
 void connectionChoiceAndShards() {
-  using Kind = LinkChoice::Kind;
-  CHECK(chooseLink({}, 1).kind == Kind::open && chooseLink({}, 0).kind == Kind::none);
-  const LinkState full{true, false, 100, 100}, leaving{true, true, 1, 100}, coming{false, false, 3, 100},
-      busy{true, false, 9, 100};
-  CHECK(chooseLink({full}, 1).kind == Kind::none && chooseLink({full}, 2).kind == Kind::open);
-  CHECK(chooseLink({leaving}, 2).kind == Kind::open);
-  CHECK(chooseLink({full, coming, busy, leaving}, 9).at == 2 && chooseLink({full, coming}, 9).at == 1);
+  using Kind = ConnectionChoice::Kind;
+  CHECK(chooseConnection({}, 1).kind == Kind::open && chooseConnection({}, 0).kind == Kind::none);
+  const ConnectionState full{true, false, 100, 100}, leaving{true, true, 1, 100},
+      coming{false, false, 3, 100}, busy{true, false, 9, 100};
+  CHECK(chooseConnection({full}, 1).kind == Kind::none && chooseConnection({full}, 2).kind == Kind::open);
+  CHECK(chooseConnection({leaving}, 2).kind == Kind::open);
+  CHECK(chooseConnection({full, coming, busy, leaving}, 9).at == 2 &&
+        chooseConnection({full, coming}, 9).at == 1);
   CHECK(hashKey("") == 0xcbf29ce484222325ULL &&
         hashKey("a") == 0xaf63dc4c8601ec8cULL);  // published FNV-1a test values
   std::vector<int> counts(7);
@@ -371,8 +372,8 @@
 }
 
 void floodsAreDetected() {
-  using Cost = http2::Guard::Cost;
-  http2::Guard guard;
+  using Cost = http2::FloodGuard::Cost;
+  http2::FloodGuard guard;
   Nanos now = kSecond;
   for (int i = 0; i < 3000; ++i)
     CHECK(guard.allow(Cost::reset, now += 20 * kMs));  // a busy client for a minute is no flood
@@ -386,7 +387,7 @@
 void healthMessages() {
   const auto read = [](const std::string& message) {
     const auto prefix = std::string{'\0', '\0', '\0', '\0', static_cast<char>(message.size())};
-    return grpc::readHealthRequest(prefix + message);
+    return grpc::parseHealthRequest(prefix + message);
   };
   CHECK(read("") == "" &&
         read("\x0a\x03"
@@ -394,16 +395,16 @@
         read("\x10\x05\x0a\x01x") == "x");
   CHECK(!read("\x0a\x09"
               "a.B") &&
-        !read("\xff") && !read("\x0b") && !grpc::readHealthRequest("\x01\0\0\0\0"));
-  CHECK(grpc::writeHealthResponse(grpc::Serving::serving) == std::string("\0\0\0\0\2\x08\x01", 7));
-  survivesGarbage(std::string("\0\0\0\0\5\x0a\x03"
-                              "a.B",
-                              10),
-                  [](const std::vector<std::string>& pieces) {
-                    std::string all;
-                    for (const auto& p : pieces) all += p;
-                    return grpc::readHealthRequest(all).value_or("");
-                  });
+        !read("\xff") && !read("\x0b") && !grpc::parseHealthRequest("\x01\0\0\0\0"));
+  CHECK(grpc::serializeHealthResponse(grpc::Serving::serving) == std::string("\0\0\0\0\2\x08\x01", 7));
+  checkGarbageInput(std::string("\0\0\0\0\5\x0a\x03"
+                                "a.B",
+                                10),
+                    [](const std::vector<std::string>& pieces) {
+                      std::string all;
+                      for (const auto& p : pieces) all += p;
+                      return grpc::parseHealthRequest(all).value_or("");
+                    });
 }
 
 }  // namespace
--- a/tests/cli_test.cpp
+++ b/tests/cli_test.cpp
@@ -13,8 +13,8 @@
 
 #include "check.hpp"
 #include "cli/signals.hpp"
-#include "lab/grpc_stand_in.hpp"
-#include "lab/stand_in.hpp"
+#include "lab/fake_grpc.hpp"
+#include "lab/fake_server.hpp"
 #include "scratch.hpp"
 
 namespace topazweir::test {
@@ -78,7 +78,7 @@
   std::atomic<bool> stopBackends{false};
   std::thread backends([&] {
     net::Loop loop;
-    lab::GrpcStandIn first(loop, "first"), second(loop, "second");
+    lab::FakeGrpcServer first(loop, "first"), second(loop, "second");
     addresses.set_value({first.address(), second.address()});
     std::function<void()> poll = [&] {
       stopBackends ? loop.stop() : static_cast<void>(loop.after(20 * kMs, poll));
@@ -103,11 +103,11 @@
   const auto untilCallEnds = [&](const std::string& path, int status, const std::string& server) {
     net::Loop loop;
     bool seen = false;
-    std::unique_ptr<lab::GrpcClient> client;
+    std::unique_ptr<lab::FakeGrpcClient> client;
     int tries = 0;
     std::function<void()> call = [&] {
-      client = std::make_unique<lab::GrpcClient>(loop, listen);
-      client->call(path, "x", {}, [&](const lab::GrpcClient::Reply& reply) {
+      client = std::make_unique<lab::FakeGrpcClient>(loop, listen);
+      client->call(path, "x", {}, [&](const lab::FakeGrpcClient::Reply& reply) {
         seen =
             reply.status == status && (server.empty() || calls::find(reply.trailers, "x-server") == server);
         if (seen || ++tries > 200) return loop.stop();
--- a/tests/cold_ramp_test.cpp
+++ b/tests/cold_ramp_test.cpp
@@ -1,8 +1,8 @@
 // Slow start of a cold server under the sum of what all aggregators send it, of which each sees only its own
 // part. Up to thirty instances of the decision module run on one simulated clock; the test counts the sends
-// of all instances to each cold server in every overload window (Settings::tipWindow). The budget of N calls
-// is the server's overload multiple of the work that it can do in the window at its present warmth. Another
-// 2 * sqrt(N) + 2 calls are put down to chance.
+// of all instances to each cold server in every overload window (Settings::overloadWindow). The budget of N
+// calls is the server's overload multiple of the work that it can do in the window at its present warmth.
+// Another 2 * sqrt(N) + 2 calls are put down to chance.
 #include <algorithm>
 #include <array>
 #include <cmath>
@@ -15,7 +15,7 @@
 #include <string_view>
 #include <vector>
 
-#include "fleet_world.hpp"
+#include "fleet_simulation.hpp"
 #include "seeds.hpp"
 
 namespace topazweir::test {
@@ -48,8 +48,8 @@
 };
 
 double warmthAt(const Settings& s, Nanos age) {
-  const double part = static_cast<double>(age) / static_cast<double>(s.coldFor);
-  return s.coldFrom + (1 - s.coldFrom) * std::clamp(part, 0.0, 1.0);
+  const double part = static_cast<double>(age) / static_cast<double>(s.warmUpTime);
+  return s.coldCapacityShare + (1 - s.coldCapacityShare) * std::clamp(part, 0.0, 1.0);
 }
 
 // Returns the largest ratio, over all windows, of the sends in a window to the allowed N + 2 * sqrt(N) +
@@ -60,10 +60,10 @@
   std::size_t last = 0;
   for (std::size_t first = 0; first < cold.sends.size(); ++first) {
     const Nanos at = cold.sends[first];
-    if (at - cold.startedAt >= s.coldFor) break;
-    while (last < cold.sends.size() && cold.sends[last] < at + s.tipWindow) ++last;
-    const double n = s.tipMultiple * kCores * warmthAt(s, at - cold.startedAt) *
-                     static_cast<double>(s.tipWindow) / kMeanWorkNs;
+    if (at - cold.startedAt >= s.warmUpTime) break;
+    while (last < cold.sends.size() && cold.sends[last] < at + s.overloadWindow) ++last;
+    const double n = s.overloadMultiple * kCores * warmthAt(s, at - cold.startedAt) *
+                     static_cast<double>(s.overloadWindow) / kMeanWorkNs;
     worst = std::max(worst, static_cast<double>(last - first) / (n + 2 * std::sqrt(n) + 2));
   }
   return worst;
@@ -84,7 +84,7 @@
       own.seed = random_();
       own.number = i;
       instances_.push_back({std::make_unique<Aggregator>(own), {}, {}});
-      runTurn(instances_.back(), {ListNews{ListNews::Scope::initial, entries()}});
+      runTurn(instances_.back(), {ServerListUpdate{ServerListUpdate::Scope::initial, entries()}});
       shares.push_back(std::exp(skew(random_)));
     }
     instanceByTraffic_ = std::discrete_distribution<std::size_t>(shares.begin(), shares.end());
@@ -161,7 +161,7 @@
   void publishServerList() {
     for (auto& instance : instances_)
       schedule(static_cast<Nanos>(random_() % static_cast<std::uint64_t>(kSec / 2)), [this, &instance] {
-        runTurn(instance, {ListNews{ListNews::Scope::full, entries()}});
+        runTurn(instance, {ServerListUpdate{ServerListUpdate::Scope::full, entries()}});
       });
   }
   void schedule(Nanos wait, std::function<void()> action) { events_.emplace(now_ + wait, std::move(action)); }
@@ -309,11 +309,12 @@
 // Checks worstWindow() itself: a count just within the tolerance passes, one call more does not.
 void countsToTheCall() {
   const auto s = fleetSettings(30, kCells);
-  const double n = s.tipMultiple * kCores * s.coldFrom * static_cast<double>(s.tipWindow) / kMeanWorkNs;
+  const double n =
+      s.overloadMultiple * kCores * s.coldCapacityShare * static_cast<double>(s.overloadWindow) / kMeanWorkNs;
   const auto most = static_cast<std::size_t>(n + 2 * std::sqrt(n) + 2);
   ColdServer cold{1000 * kSec, std::vector<Nanos>(most, 1000 * kSec)};
   CHECK(worstWindow(s, cold) <= 1);
-  cold.sends.push_back(1000 * kSec + s.tipWindow - 1);
+  cold.sends.push_back(1000 * kSec + s.overloadWindow - 1);
   CHECK(worstWindow(s, cold) > 1);
   cold.sends.back() += 1;  // in the next window
   CHECK(worstWindow(s, cold) <= 1);
--- a/tests/cuts.hpp
+++ b/tests/cuts.hpp
@@ -12,10 +12,10 @@
 namespace topazweir::test {
 
 // Feeds the pieces of a message to a parser in order and returns a textual description of the result.
-using Parse = std::function<std::string(const std::vector<std::string>& pieces)>;
+using ParseFunction = std::function<std::string(const std::vector<std::string>& pieces)>;
 
 // Checks that the result does not depend on how the message is split.
-inline void sameAtEveryCut(const std::string& message, const Parse& parse) {
+inline void checkSplitInvariance(const std::string& message, const ParseFunction& parse) {
   const std::string whole = parse({message});
   CHECK(!whole.empty());
   for (std::size_t at = 1; at < message.size(); ++at)
@@ -31,7 +31,7 @@
 
 // Feeds messages with changed bytes and random bytes: the parser must not crash, hang or produce unbounded
 // output.
-inline void survivesGarbage(const std::string& message, const Parse& parse) {
+inline void checkGarbageInput(const std::string& message, const ParseFunction& parse) {
   std::mt19937 random(11);
   for (int round = 0; round < 2000; ++round) {
     std::string text = message;
--- a/tests/dissemination_world.hpp
+++ b/tests/dissemination_checker.hpp
@@ -14,11 +14,11 @@
 #include <unordered_map>
 #include <vector>
 
-#include "lab/virtual_changes.hpp"
+#include "lab/dissemination_simulation.hpp"
 
 namespace topazweir::test {
 
-using lab::VirtualChanges;
+using lab::DisseminationSimulation;
 constexpr Nanos kMs = 1'000'000;
 constexpr Nanos kSec = 1000 * kMs;
 
@@ -26,7 +26,7 @@
  public:
   // `deep`: compares each register by content whenever it changes; otherwise by its number, and by content at
   // the end.
-  Checker(VirtualChanges& fleet, bool deep) : fleet_(fleet), deep_(deep), observed_(fleet.size()) {
+  Checker(DisseminationSimulation& fleet, bool deep) : fleet_(fleet), deep_(deep), observed_(fleet.size()) {
     fleet_.agreedOn = [this] { onCommitted(); };
     fleet_.started = [this](int i) { of(i) = {}; };
     fleet_.stepped = [this](int i) { onStep(i); };
@@ -80,9 +80,9 @@
     // Twice the data burst of a tenth of a second, plus control messages, which are not paced.
     const std::uint64_t maxPerTick = 2 * 32 * 1024 + 16 * 1024;
     for (int i = 0; i < fleet_.size(); ++i) {
-      if (fleet_.at(i).worstMinute > maxPerMinute)
+      if (fleet_.at(i).maxBytesInMinute > maxPerMinute)
         addViolation("sent more in a minute than the budget allows");
-      if (fleet_.at(i).worstTick > maxPerTick) addViolation("sent more at once than the budget allows");
+      if (fleet_.at(i).maxBytesInTick > maxPerTick) addViolation("sent more at once than the budget allows");
     }
   }
   void addViolation(const std::string& what) { violations.insert(what); }
@@ -172,7 +172,7 @@
     return any ? out : dissemination::Position{};
   }
 
-  VirtualChanges& fleet_;
+  DisseminationSimulation& fleet_;
   bool deep_;
   std::vector<Observed> observed_;
   std::unordered_map<std::uint64_t, std::set<std::uint64_t>> committedDigests_;
