--- a/tests/dissemination_test.cpp
+++ b/tests/dissemination_test.cpp
@@ -11,7 +11,7 @@
 #include "dissemination/messages.hpp"
 #include "dissemination/parents.hpp"
 #include "dissemination/replica.hpp"
-#include "dissemination_world.hpp"
+#include "dissemination_checker.hpp"
 #include "seeds.hpp"
 
 namespace topazweir::test {
@@ -27,7 +27,7 @@
 }
 
 // A change of a random key: most succeed, some fail (stale fence), some delete the key.
-agreement::Command randomChange(VirtualChanges& fleet, std::uint64_t keys, std::uint64_t bytes) {
+agreement::Command randomChange(DisseminationSimulation& fleet, std::uint64_t keys, std::uint64_t bytes) {
   const std::string key = "key/" + std::to_string(fleet.draw(keys));
   const auto* held = fleet.truth().find(key);
   agreement::Command c{key, std::string(bytes, static_cast<char>('a' + fleet.draw(std::uint64_t{26}))),
@@ -39,12 +39,12 @@
   return c;
 }
 
-void beginGeneration(VirtualChanges& fleet, std::uint64_t generation) {
+void beginGeneration(DisseminationSimulation& fleet, std::uint64_t generation) {
   fleet.propose(put(fleet.truth(), kGenerationKey, std::to_string(generation)));
 }
 
 struct RandomOptions {
-  VirtualChanges::Options options;
+  DisseminationSimulation::Options options;
   explicit RandomOptions(std::uint64_t seed) {
     std::mt19937_64 r(seed * 7919);
     auto& o = options;
@@ -61,7 +61,7 @@
     s.pieceBytes = 64 + r() % 300;
     if (r() % 5 == 0) s.bytesPerSecond = 1500, s.burstBytes = 64 * 1024, s.fanOut = 2 + r() % 2;
     if (r() % 6 == 0) {  // two dedicated relays serve all members, with a matching byte budget
-      s.relays = {VirtualChanges::nameOf(o.voters), VirtualChanges::nameOf(o.voters + 1)};
+      s.relays = {DisseminationSimulation::nameOf(o.voters), DisseminationSimulation::nameOf(o.voters + 1)};
       s.bytesPerSecond = 8192;
     }
   }
@@ -108,7 +108,7 @@
         fleet.cut = [this, region](int a, int b) {
           return (fleet.at(a).region == region) != (fleet.at(b).region == region);
         };
-        fleet.viewChanged();
+        fleet.updateAllViews();
         break;
       }
       case 5:
@@ -150,7 +150,7 @@
     fleet.doubled = fleet.altered = 0;
     for (int i = 0; i < fleet.size(); ++i)
       if (!fleet.at(i).up) fleet.start(i);
-    fleet.viewChanged();
+    fleet.updateAllViews();
     fleet.run(6 * kSec);  // stalled members resume
     fleet.lead(static_cast<int>(fleet.draw(static_cast<std::uint64_t>(fleet.voters()))));
     if (Checker::position(fleet.truth()).generation < generation || generation == 0)
@@ -167,13 +167,13 @@
     return count;
   }
 
-  VirtualChanges fleet;
+  DisseminationSimulation fleet;
   Checker checker;
   std::uint64_t generation = 0;
   Nanos convergenceTime = 0;  // from the healing until all members have converged
 };
 
-void printState(const VirtualChanges& fleet) {
+void printState(const DisseminationSimulation& fleet) {
   std::fprintf(stderr,
                "leader %d, truth %llu, rate %.0f burst %zu fan-out %zu tail %zu/%zu every %llu relays %zu\n",
                fleet.leader(), static_cast<unsigned long long>(fleet.truth().commands()),
@@ -219,7 +219,8 @@
     convergenceTime.push_back(s.convergenceTime);
     for (int i = 0; i < s.fleet.size(); ++i) {
       const auto& c = s.fleet.at(i).node->counters();
-      applied += c.changesApplied, snapshots += c.snapshotsTaken, diverged += c.diverged, broken += c.broken;
+      applied += c.changesApplied, snapshots += c.snapshotsInstalled, diverged += c.diverged,
+          broken += c.broken;
       left += c.parentsLeft, turnedAway += c.turnedAway, deferred += c.deferred;
     }
   }
@@ -242,9 +243,10 @@
 // ---- Injected faults: the checker must detect each of them.
 
 // Runs a small fleet for half a minute of changes with an injected fault; returns the violations found.
-std::set<std::string> violationsWith(const std::function<void(VirtualChanges&, Checker&)>& injectFault,
-                                     const std::function<void(VirtualChanges&)>& midway = nullptr) {
-  VirtualChanges::Options o;
+std::set<std::string> violationsWith(
+    const std::function<void(DisseminationSimulation&, Checker&)>& injectFault,
+    const std::function<void(DisseminationSimulation&)>& midway = nullptr) {
+  DisseminationSimulation::Options o;
   o.members = 12;
   o.zones = 2;
   o.regions = 2;
@@ -252,7 +254,7 @@
   o.settings.fanOut = 2;
   o.settings.snapshotEvery = 8;
   o.settings.tailChanges = 32;
-  VirtualChanges fleet(o);
+  DisseminationSimulation fleet(o);
   Checker checker(fleet, true);
   fleet.startAll();
   fleet.run(2 * kSec);
@@ -271,7 +273,7 @@
 // From the twelfth change on, shows the checker the register that member 7 would have with a faulty
 // implementation.
 void injectRegister(
-    VirtualChanges& fleet, Checker& checker,
+    DisseminationSimulation& fleet, Checker& checker,
     std::function<agreement::Register(const std::vector<agreement::Command>&)> faultyRegister) {
   const auto shown = std::make_shared<agreement::Register>();
   checker.injectedRegister =
@@ -291,8 +293,9 @@
     return r;
   };
   const auto holds = [&](std::function<agreement::Register(Log)> faultyRegister) {
-    return violationsWith(
-        [&](VirtualChanges& fleet, Checker& checker) { injectRegister(fleet, checker, faultyRegister); });
+    return violationsWith([&](DisseminationSimulation& fleet, Checker& checker) {
+      injectRegister(fleet, checker, faultyRegister);
+    });
   };
   const auto has = [](const std::set<std::string>& found, const char* what) {
     for (const auto& f : found)
@@ -302,7 +305,7 @@
   };
   const char* kNoCommittedPrefix = "matches no committed prefix";
 
-  CHECK(violationsWith([](VirtualChanges&, Checker&) {}).empty());
+  CHECK(violationsWith([](DisseminationSimulation&, Checker&) {}).empty());
 
   // One change is skipped, but counted.
   CHECK(has(holds([&](Log log) {
@@ -338,7 +341,7 @@
   // The send budget is exceeded: one member sends a hundred extra messages.
   {
     bool again = false;
-    CHECK(has(violationsWith([&](VirtualChanges& fleet, Checker&) {
+    CHECK(has(violationsWith([&](DisseminationSimulation& fleet, Checker&) {
                 fleet.sending = [&fleet, &again](int from, dissemination::Out& o) {
                   if (from == 0 && !again) {
                     again = true;
@@ -349,7 +352,7 @@
                 };
               }),
               "sent more in a minute"));
-    CHECK(has(violationsWith([&](VirtualChanges& fleet, Checker&) {
+    CHECK(has(violationsWith([&](DisseminationSimulation& fleet, Checker&) {
                 fleet.sending = [&fleet, &again](int from, dissemination::Out& o) {
                   if (from == 4 && !again && fleet.now % 7 == 0) {
                     again = true;
@@ -362,7 +365,7 @@
               "sent more at once"));
   }
   // A member is counted twice in the report to its parent.
-  CHECK(has(violationsWith([](VirtualChanges& fleet, Checker&) {
+  CHECK(has(violationsWith([](DisseminationSimulation& fleet, Checker&) {
               fleet.sending = [](int from, dissemination::Out& o) {
                 if (from != 9 || dissemination::kindOf(o.bytes) != dissemination::Kind::report) return true;
                 auto r = *dissemination::readReport(o.bytes);
@@ -373,7 +376,7 @@
             }),
             "counts differ"));
   // One member never receives any change.
-  CHECK(has(violationsWith([](VirtualChanges& fleet, Checker&) {
+  CHECK(has(violationsWith([](DisseminationSimulation& fleet, Checker&) {
               fleet.sending = [](int, dissemination::Out& o) {
                 const auto kind = dissemination::kindOf(o.bytes);
                 return o.to != "m6" ||
@@ -382,10 +385,11 @@
             }),
             "members have not converged"));
   // A member has too many children.
-  CHECK(has(violationsWith([](VirtualChanges&, Checker& c) { c.extraChildren = 5; }), "more children"));
+  CHECK(has(violationsWith([](DisseminationSimulation&, Checker& c) { c.extraChildren = 5; }),
+            "more children"));
   // Heartbeats claim fresh state in a part of the fleet that is partitioned from the voters.
   CHECK(has(violationsWith(
-                [](VirtualChanges& fleet, Checker&) {
+                [](DisseminationSimulation& fleet, Checker&) {
                   fleet.sending = [](int from, dissemination::Out& o) {
                     if (from % 2 == 0 || dissemination::kindOf(o.bytes) != dissemination::Kind::heartbeat)
                       return true;
@@ -395,9 +399,9 @@
                     return true;
                   };
                 },
-                [](VirtualChanges& fleet) {
+                [](DisseminationSimulation& fleet) {
                   fleet.cut = [](int a, int b) { return a % 2 != b % 2; };
-                  fleet.viewChanged();
+                  fleet.updateAllViews();
                   fleet.run(10 * kSec);
                 }),
             "an age younger than"));
@@ -407,14 +411,14 @@
 // ---- Malformed messages.
 
 void malformedBytesChangeNothing(std::uint64_t seed) {
-  VirtualChanges::Options o;
+  DisseminationSimulation::Options o;
   o.members = 8;
   o.seed = seed;
   o.settings.fanOut = 2;
   o.settings.snapshotEvery = 8;
   o.settings.tailChanges = 16;
   o.settings.pieceBytes = 100;
-  VirtualChanges fleet(o);
+  DisseminationSimulation fleet(o);
   Checker checker(fleet, true);
   std::vector<std::string> genuine;
   fleet.sending = [&](int, dissemination::Out& out) {
@@ -462,7 +466,7 @@
     dissemination::Changes c{any(), any(), {}};
     for (std::uint64_t k = r() % 4 + 1; k-- > 0;)
       c.commands.push_back(r() % 2 ? std::string(r() % 20, static_cast<char>(r()))
-                                   : agreement::writeCommand({"key/1", "x", any()}));
+                                   : agreement::serializeCommand({"key/1", "x", any()}));
     dissemination::Report report;
     report.flags = static_cast<std::uint8_t>(r());
     report.number = any();
@@ -536,7 +540,7 @@
   const std::vector<std::tuple<std::string, uint64_t, uint64_t>> slowest{{"m9", 7, 3}};
   const auto report = each(1, 7, 5, uint64_t{1} << 60, 0, 3, 7, 3, 2, slowest);
   return {{Kind::heartbeat, each(5, 77, 12, 31)},
-          {Kind::changes, each(0, 9, std::vector<std::string>{agreement::writeCommand({"a", "1", 0})})},
+          {Kind::changes, each(0, 9, std::vector<std::string>{agreement::serializeCommand({"a", "1", 0})})},
           {Kind::report, report},
           {Kind::offer, each(7, 5, 9, 11, 100)},
           {Kind::pieceRequest, each(5, 11, 100, 0, 2)},
@@ -802,8 +806,8 @@
   const auto changes = v.agree("x", 1, now);
   CHECK(v.held.commands() == 1);
   member.received(other,
-                  dissemination::write(
-                      dissemination::Changes{0, digestOf(v.held), {agreement::writeCommand({"k0", "x", 0})}}),
+                  dissemination::write(dissemination::Changes{
+                      0, digestOf(v.held), {agreement::serializeCommand({"k0", "x", 0})}}),
                   now);
   CHECK(member.held() == v.held);
 }
@@ -813,7 +817,7 @@
   const auto member = memberBelow("v", kSec);
   Nanos now = kSec + 10 * kMs;
   member->received(
-      "v", dissemination::write(dissemination::Changes{0, 1, {agreement::writeCommand({"k0", "x", 0})}}),
+      "v", dissemination::write(dissemination::Changes{0, 1, {agreement::serializeCommand({"k0", "x", 0})}}),
       now);
   CHECK(member->counters().diverged == 1 && (member->position() == Position{}));
   std::vector<Out> sent;
@@ -835,12 +839,12 @@
 // voters' state is begun with a clock that is behind (`all`), or by a foreign register with the highest
 // generation.
 void unknownLaterGenerationIsGivenUp(bool all) {
-  VirtualChanges::Options o;
+  DisseminationSimulation::Options o;
   o.members = 40;
   o.zones = 2;
   o.seed = 3;
   o.settings.fanOut = 2;
-  VirtualChanges fleet(o);
+  DisseminationSimulation fleet(o);
   fleet.startAll();
   fleet.run(2 * kSec);
   beginGeneration(fleet, 1000);
@@ -903,7 +907,7 @@
 // Measures when each change has been applied by the last of the running members.
 class PropagationTimer {
  public:
-  explicit PropagationTimer(VirtualChanges& fleet)
+  explicit PropagationTimer(DisseminationSimulation& fleet)
       : fleet_(fleet), at_(static_cast<std::size_t>(fleet.size()), 0) {
     fleet.stepped = [this, before = fleet.stepped](int i) {
       before(i);
@@ -941,32 +945,32 @@
       if (c.number > has && c.number <= now && fleet_.at(i).up) c.last = fleet_.now;
     has = now;
   }
-  VirtualChanges& fleet_;
+  DisseminationSimulation& fleet_;
   std::vector<std::uint64_t> at_;
   std::vector<PendingChange> pending_;
 };
 
-agreement::Command hundredByteChange(VirtualChanges& fleet, std::uint64_t keys) {
+agreement::Command hundredByteChange(DisseminationSimulation& fleet, std::uint64_t keys) {
   const std::string key = "permit/cell-" + std::to_string(10000 + fleet.draw(keys));
   return put(fleet.truth(), key, std::string(50, 'v') + std::to_string(fleet.now));
 }
 
-VirtualChanges::Options largeFleet(int members, std::uint64_t seed) {
-  VirtualChanges::Options o;
+DisseminationSimulation::Options largeFleet(int members, std::uint64_t seed) {
+  DisseminationSimulation::Options o;
   o.members = members;
   o.voters = 3;
   o.regions = 3;
   o.zones = 6;
   o.seed = seed;
-  o.viewLag = 14 * kSec;
-  o.viewLeast = 13 * kSec;
+  o.maxViewLag = 14 * kSec;
+  o.minViewLag = 13 * kSec;
   return o;
 }
 
 struct Bytes {
-  double mean = 0, most = 0, worstMinute = 0, voters = 0;
+  double mean = 0, most = 0, maxBytesInMinute = 0, voters = 0;
 };
-Bytes bytesSince(VirtualChanges& fleet, const std::vector<std::uint64_t>& before, Nanos since) {
+Bytes bytesSince(DisseminationSimulation& fleet, const std::vector<std::uint64_t>& before, Nanos since) {
   Bytes out;
   const double seconds = static_cast<double>(fleet.now - since) / 1e9;
   for (int i = 0; i < fleet.size(); ++i) {
@@ -976,31 +980,31 @@
     out.mean += each / fleet.size();
     out.most = std::max(out.most, each);
     if (m.votes) out.voters = std::max(out.voters, each);
-    out.worstMinute = std::max(out.worstMinute, static_cast<double>(m.worstMinute) / 60);
+    out.maxBytesInMinute = std::max(out.maxBytesInMinute, static_cast<double>(m.maxBytesInMinute) / 60);
   }
   return out;
 }
-std::vector<std::uint64_t> resetByteCounters(VirtualChanges& fleet) {
+std::vector<std::uint64_t> resetByteCounters(DisseminationSimulation& fleet) {
   std::vector<std::uint64_t> out;
   for (int i = 0; i < fleet.size(); ++i) {
     out.push_back(fleet.at(i).sentBytes);
-    fleet.at(i).worstMinute = fleet.at(i).sentInMinute;
+    fleet.at(i).maxBytesInMinute = fleet.at(i).sentInMinute;
   }
   return out;
 }
 void printRow(const char* what, const std::vector<double>& timer, const Bytes& b) {
   std::printf("| %s | %zu | %.2f | %.2f | %.2f | %.2f | %.0f | %.0f | %.0f | %.0f |\n", what, timer.size(),
               percentile(timer, 0.5), percentile(timer, 0.99), percentile(timer, 0.999), percentile(timer, 1),
-              b.mean, b.most, b.voters, b.worstMinute);
+              b.mean, b.most, b.voters, b.maxBytesInMinute);
   std::fflush(stdout);
 }
 
 // Starts several members at once and updates all views once, as when a rack is killed: an update for each of
 // them would only repeat the same view.
-void startAtOnce(VirtualChanges& fleet, const std::vector<int>& several) {
+void startAtOnce(DisseminationSimulation& fleet, const std::vector<int>& several) {
   for (const int i : several) fleet.start(i, false);
   for (const int i : several) fleet.tell(i);
-  fleet.viewChanged();
+  fleet.updateAllViews();
 }
 
 void fleetAtSize(int members, std::uint64_t seed) {
@@ -1010,7 +1014,7 @@
       "| run | changes | p50 s | p99 s | p99.9 s | last s | B/s a member, mean | most | voter | worst "
       "minute, B/s |\n"
       "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n");
-  VirtualChanges fleet(largeFleet(members, seed));
+  DisseminationSimulation fleet(largeFleet(members, seed));
   Checker checker(fleet, false);
   PropagationTimer timer(fleet);
   fleet.loss = 0.01;
@@ -1036,7 +1040,7 @@
     const auto bytes = bytesSince(fleet, before, since);
     printRow("ordinary", seconds, bytes);
     CHECK(percentile(seconds, 0.999) <= 5);
-    CHECK(bytes.mean <= 2048 && bytes.most <= 2048 && bytes.worstMinute <= 6 * 1024);
+    CHECK(bytes.mean <= 2048 && bytes.most <= 2048 && bytes.maxBytesInMinute <= 6 * 1024);
     CHECK(checker.runUntilConverged(30 * kSec));
   }
   {  // an eighth of the members crash at once; views change 13 s later
@@ -1066,7 +1070,7 @@
 
 // A region is partitioned for as many changes as an hour has.
 void regionReturns(int members, std::uint64_t seed) {
-  VirtualChanges fleet(largeFleet(members, seed));
+  DisseminationSimulation fleet(largeFleet(members, seed));
   Checker checker(fleet, false);
   fleet.loss = 0.01;
   fleet.startAll();
@@ -1080,7 +1084,7 @@
   fleet.run(60 * kSec);
   {
     fleet.cut = [&fleet](int a, int b) { return (fleet.at(a).region == 1) != (fleet.at(b).region == 1); };
-    fleet.viewChanged();
+    fleet.updateAllViews();
     const Nanos since = fleet.now;
     for (int i = 0; i < 325; ++i) {  // within a tenth of an hour, which the byte budget allows
       fleet.propose(hundredByteChange(fleet, 300));
@@ -1094,7 +1098,7 @@
     const auto before = resetByteCounters(fleet);
     const Nanos healed = fleet.now;
     fleet.cut = [](int, int) { return false; };
-    fleet.viewChanged();
+    fleet.updateAllViews();
     while (!checker.converged() && fleet.now < healed + 90 * kSec) fleet.run(100 * kMs);
     const Nanos convergenceTime = fleet.now - healed;
     fleet.run(60 * kSec - std::min(convergenceTime, 59 * kSec));
@@ -1103,8 +1107,8 @@
         "| %d members, a region back after 325 changes: all level after %.1f s | | | | | | %.0f | %.0f | "
         "%.0f | %.0f |\n",
         members, static_cast<double>(convergenceTime) / 1e9, bytes.mean, bytes.most, bytes.voters,
-        bytes.worstMinute);
-    CHECK(convergenceTime <= 30 * kSec && bytes.worstMinute <= 6 * 1024 + 1);
+        bytes.maxBytesInMinute);
+    CHECK(convergenceTime <= 30 * kSec && bytes.maxBytesInMinute <= 6 * 1024 + 1);
   }
   CHECK(checker.runUntilConverged(120 * kSec));
   checker.checkFinalState();
@@ -1113,7 +1117,7 @@
 }
 
 void memberReturns(int members, int keys, std::uint64_t seed) {
-  VirtualChanges fleet(largeFleet(members, seed));
+  DisseminationSimulation fleet(largeFleet(members, seed));
   Checker checker(fleet, false);
   fleet.startAll();
   fleet.run(10 * kSec);
--- a/tests/endings_test.cpp
+++ b/tests/endings_test.cpp
@@ -46,7 +46,7 @@
     }
   };
   int maxAttempts = 0;
-  Nanos endBy = std::numeric_limits<Nanos>::max();
+  Nanos setShutdownDeadline = std::numeric_limits<Nanos>::max();
   std::map<broker::RequestNo, TrackedRequest> asked;
   std::set<ServerId> serving;
   std::string fault;
@@ -74,14 +74,14 @@
       if (request.effect == Effect::keyed && order.writeBy > attempt.startedAt + request.window)
         violation("writeBy beyond the keyed window");
     }
-    if (now + order.wait > std::min(request.due, std::max(endBy, now)))
+    if (now + order.wait > std::min(request.due, std::max(setShutdownDeadline, now)))
       violation("attempt time-out beyond the deadline");
     attempts.push_back({order.server, false, std::nullopt, now});
   }
   void answered(broker::RequestNo no, const broker::FinalAnswer& answer, Nanos now) {
     auto& request = asked[no];
     if (std::exchange(request.over, true)) violation("second final answer");
-    if (now > std::min(request.due, std::max(endBy, now))) violation("late final answer");
+    if (now > std::min(request.due, std::max(setShutdownDeadline, now))) violation("late final answer");
     if (answer.verdict == broker::Verdict::refused && request.effect != Effect::safe && request.mayHaveRun())
       violation("refused although it may have run");
   }
@@ -101,17 +101,17 @@
   explicit Simulation(unsigned seed) : random(seed), core(terms(seed % 4 > 1), *this, *this, log) {
     checker.maxAttempts = core.terms().settings.maxAttempts;
     for (ServerId id = 1; id <= kServers; ++id) states[id] = {ServerState::up, 0};
-    updateServers(ListNews::Scope::initial);
+    updateServers(ServerListUpdate::Scope::initial);
   }
   // `cold`: servers start with no capacity, and the rule on overloading cold servers applies.
   static broker::Terms terms(bool cold) {
     broker::Terms t;
     auto& s = t.settings;
     if (cold) {
-      s.coldFrom = 0;
-      s.coldFor = 3000 * kMs;
-      s.tipMultiple = 4;
-      s.tipWindow = 1000 * kMs;
+      s.coldCapacityShare = 0;
+      s.warmUpTime = 3000 * kMs;
+      s.overloadMultiple = 4;
+      s.overloadWindow = 1000 * kMs;
     }
     s.seed = 5;
     s.tick = 5 * kMs;
@@ -119,7 +119,7 @@
     s.cells = kServers;
     s.reach = 3;
     s.maxAttempts = 4;
-    s.secondCopies = true;
+    s.hedging = true;
     s.cancelling = true;
     s.retryAfter = true;
     s.maxRetryAfter = 2000 * kMs;
@@ -132,7 +132,7 @@
                            .keyedWindow = 150 * kMs,
                            .floor = 0.5,
                            .partialWorth = 0.8});
-    t.longestDeadline = 10'000 * kMs;
+    t.maxDeadline = 10'000 * kMs;
     return t;
   }
   Nanos now() const override { return time; }
@@ -165,8 +165,8 @@
     }
     time = until;
   }
-  void updateServers(ListNews::Scope scope) {
-    ListNews update;
+  void updateServers(ServerListUpdate::Scope scope) {
+    ServerListUpdate update;
     update.scope = scope;
     checker.serving.clear();
     for (const auto& [id, state] : states) {
@@ -174,7 +174,7 @@
           {.server = id, .cell = static_cast<int>(id) - 1, .state = state.first, .startedAt = state.second});
       if (state.first == ServerState::up) checker.serving.insert(id);
     }
-    core.told(std::move(update));
+    core.updateServers(std::move(update));
     // Like the connection pool: attempts not yet written to a server that is no longer up are not sent.
     for (const auto& id : std::vector(live)) {
       const bool out = std::find(live.begin(), live.end(), id) != live.end();
@@ -208,7 +208,8 @@
         auto& state = states[1 + randomBelow(kServers)];
         state.first = static_cast<ServerState>(randomBelow(3));
         if (randomBelow(3) == 0) state.second = time;  // the server has restarted
-        return updateServers(randomBelow(2) == 0 ? ListNews::Scope::full : ListNews::Scope::changes);
+        return updateServers(randomBelow(2) == 0 ? ServerListUpdate::Scope::full
+                                                 : ServerListUpdate::Scope::changes);
       }
       case 3:
         if (open.empty() || randomBelow(3) > 0) return;
@@ -253,8 +254,8 @@
     for (int i = 0; i < 300 && sim.checker.fault.empty(); ++i) sim.step();
     // Half of the simulations end with a graceful shutdown, the others by the clients' deadlines alone.
     if (seed % 2 == 0) {
-      sim.checker.endBy = sim.time + static_cast<Nanos>(sim.randomBelow(300)) * kMs;
-      sim.core.endBy(sim.checker.endBy);
+      sim.checker.setShutdownDeadline = sim.time + static_cast<Nanos>(sim.randomBelow(300)) * kMs;
+      sim.core.setShutdownDeadline(sim.checker.setShutdownDeadline);
       for (int i = 0; i < 60 && sim.checker.fault.empty(); ++i) sim.step();
     }
     sim.pass(20'000 * kMs);
--- a/tests/ends_test.cpp
+++ b/tests/ends_test.cpp
@@ -10,11 +10,11 @@
 #include "check.hpp"
 #include "cuts.hpp"
 #include "http/server.hpp"
-#include "lab/stand_in.hpp"
+#include "lab/fake_server.hpp"
 #include "platform/discovery.hpp"
 #include "platform/node_pool.hpp"
+#include "processes/event_loop_test.hpp"
 #include "processes/process.hpp"
-#include "processes/steps.hpp"
 
 namespace topazweir::test {
 
@@ -107,8 +107,8 @@
     entry.state = state;
     entry.startedAt = startedAt;
     list.entries.push_back(entry);
-    directory.apply(list, ListNews::Scope::full);
-    pool.listChanged();
+    directory.apply(list, ServerListUpdate::Scope::full);
+    pool.onDirectoryChanged();
   }
   broker::AttemptId start(const std::string& part, std::size_t size = 1, Nanos writeBy = 0) {
     const broker::AttemptId id{static_cast<broker::RequestNo>(names.size() + 1), 0, 0};
@@ -157,7 +157,7 @@
   CHECK(world.is("a.2", Outcome::notSent) && world.is("a.3", Outcome::notSent) && world.ended.size() == 2);
   const auto got = world.readAll(peer, [&] { return parts(peer.text).size() == 1; });
   CHECK(got == std::vector<std::string>{"a.1"});
-  peer.send(NodeSpeaker::answer("a.1"));
+  peer.send(FakeNode::answer("a.1"));
   await(world, [&] { return world.is("a.1", Outcome::delivered); });
   await(world, [&] { return !peer.read(); });  // nothing else arrives before the connection ends
   CHECK(parts(peer.text).size() == 1);
@@ -208,9 +208,9 @@
   await(world, [&] { return world.leaf.asked(); });
   auto peer = world.leaf.accept();
   world.readAll(peer, [&] { return parts(peer.text).size() == 1; });
-  peer.send(NodeSpeaker::answer("a.1"));
+  peer.send(FakeNode::answer("a.1"));
   await(world, [&] { return world.is("a.1", Outcome::delivered); });
-  if (duplicateAnswer) peer.send(NodeSpeaker::answer("a.1"));  // a duplicate answer right before the end
+  if (duplicateAnswer) peer.send(FakeNode::answer("a.1"));  // a duplicate answer right before the end
   peer.socket.close();
   world.start("a.2");
   await(world, [&] { return world.leaf.asked(); });
@@ -226,8 +226,8 @@
   await(world, [&] { return world.leaf.asked(); });
   auto peer = world.leaf.accept();
   world.readAll(peer, [&] { return parts(peer.text).size() == 2; });
-  auto half = NodeSpeaker::answer("a.2");
-  peer.send(NodeSpeaker::answer("a.1") + half.substr(0, half.size() / 2));
+  auto half = FakeNode::answer("a.2");
+  peer.send(FakeNode::answer("a.1") + half.substr(0, half.size() / 2));
   peer.socket.close();
   await(world, [&] { return world.ended.size() == 2; });
   CHECK(world.is("a.1", Outcome::delivered) && world.is("a.2", Outcome::reset));
@@ -237,14 +237,14 @@
 
 struct RecordingHandler : http::Server::Handler {
   http::Server* server = nullptr;
-  std::vector<http::Server::ExchangeNo> open;
+  std::vector<http::Server::ExchangeId> open;
   std::vector<std::string> asked;
   int gone = 0;
-  void onRequest(http::Server::ExchangeNo exchange, const http::Head& head, std::string_view) override {
+  void onRequest(http::Server::ExchangeId exchange, const http::Head& head, std::string_view) override {
     asked.emplace_back(head.target);
     head.target == "/open" ? open.push_back(exchange) : server->respond(exchange, {200, "", "ok", {}});
   }
-  void onGone(http::Server::ExchangeNo) override { ++gone; }
+  void onGone(http::Server::ExchangeId) override { ++gone; }
 };
 
 struct ServerWorld : Stage {
@@ -390,7 +390,7 @@
   world.server.stopAccepting();
   CHECK(world.server.connections() == 3);
   whole.send("/whole HTTP/1.1\r\nHost: a\r\n\r\n");
-  world.server.endUnfinished();
+  world.server.rejectUnfinished();
   await(world, [&] { return !head.read() && !body.read() && !whole.read(); });
   CHECK(head.text.find(" 408 ") != std::string::npos && body.text.find(" 408 ") != std::string::npos);
   CHECK(whole.text.ends_with("ok") && world.server.connections() == 0);
@@ -408,8 +408,8 @@
 
 // The stream of server lists is split the same way whatever its line breaks and at whatever byte it is cut.
 void listsAreSplitAsJsonValues() {
-  const Parse parse = [](const std::vector<std::string>& pieces) {
-    platform::ListCutter cutter(4096);
+  const ParseFunction parse = [](const std::vector<std::string>& pieces) {
+    platform::JsonObjectSplitter cutter(4096);
     std::string out;
     for (const auto& piece : pieces) {
       cutter.add(piece);
@@ -424,8 +424,8 @@
   };
   const std::string three = "\r\n\n" + list(1) + "\n\n" + list(2) + list(3) + "\n";
   CHECK(parse({three}) == "1 2 3 ");
-  sameAtEveryCut(three, parse);
-  survivesGarbage(three, parse);
+  checkSplitInvariance(three, parse);
+  checkGarbageInput(three, parse);
   CHECK(parse({list(1) + "\nx" + list(2)}) == "1 not a JSON object");
   CHECK(parse({R"({"a":")" + std::string(5000, 'x')}) == "too long");
 }
@@ -451,10 +451,13 @@
                   [] { return Nanos{0}; }};
   Agent agent;
   std::vector<std::int64_t> generations;
-  platform::Discovery discovery{
-      loop, log, agent.listener.address(), {"a"}, 0, platform::RetryPace(1, true, 1), [this](const auto& l) {
-        generations.push_back(l.generation);
-      }};
+  platform::Discovery discovery{loop,
+                                log,
+                                agent.listener.address(),
+                                {"a"},
+                                0,
+                                platform::DiscoveryRetryPolicy(1, true, 1),
+                                [this](const auto& l) { generations.push_back(l.generation); }};
   void untilWatched(std::size_t count) {
     await(*this, [&] {
       agent.accept();
@@ -492,15 +495,15 @@
 // ---- the process ----
 
 struct ProcessWorld : Stage {
-  NodeSpeaker nodes;
-  StandIn leaf;
-  AgentSpeaker agentSpeaker;
-  StandIn agent;
+  FakeNode nodes;
+  FakeServer leaf;
+  FakeDiscoveryAgent agentSpeaker;
+  FakeServer agent;
   std::string listen = freeAddress(), folder;
   std::unique_ptr<Process> process;
   ProcessWorld(const char* program, const std::string& name, Fault ofLeaf, Fault ofAgent,
                const std::string& state = "Ready")
-      : leaf(loop, nodes, ofLeaf), agent(loop, agentSpeaker, ofAgent), folder(scratchFolder(name)) {
+      : leaf(loop, nodes, ofLeaf), agent(loop, agentSpeaker, ofAgent), folder(temporaryFolder(name)) {
     agentSpeaker.list = list(2, state, leaf.address());
     std::ofstream(folder + "/config.json")
         << R"({"listen":")" << listen << R"(","discovery":")" << agent.address() << R"(","known":)"
--- a/tests/fleet_processes_test.cpp
+++ b/tests/fleet_processes_test.cpp
@@ -77,7 +77,7 @@
   fleet.untilAllAlive("the seed has started", {0, 1});
   fleet.start(2, "another");
   fleet.untilCounter(1, "membership_foreign", 1);
-  net::Datagrams noise(fleet.loop, Poco::Net::SocketAddress("127.0.0.1", 0), [](auto, const auto&) {});
+  net::UdpSocket noise(fleet.loop, Poco::Net::SocketAddress("127.0.0.1", 0), [](auto, const auto&) {});
   const Poco::Net::SocketAddress to(fleet.listenAddress(0));
   membership::Message message{
       .kind = membership::Kind::ping, .sender = "n1", .from = fleet.relayAddress(1), .about = "n0"};
@@ -410,7 +410,7 @@
   }
 
   std::string name_, address_;
-  std::optional<net::Datagrams> socket_;
+  std::optional<net::UdpSocket> socket_;
   long disseminated_ = 0;
 };
 
--- a/tests/fleet_world.hpp
+++ b/tests/fleet_simulation.hpp
@@ -35,7 +35,7 @@
   return settings;
 }
 
-class FleetWorld {
+class FleetSimulation {
  public:
   struct Node {
     ServerEntry entry;
@@ -46,16 +46,16 @@
     std::deque<std::function<void()>> waiting;
   };
 
-  FleetWorld(int aggregators, int cells, unsigned seed = 1)
-      : FleetWorld(fleetSettings(aggregators, cells), seed) {}
-  FleetWorld(const Settings& settings, unsigned seed) : settings_(settings), random_(seed) {
+  FleetSimulation(int aggregators, int cells, unsigned seed = 1)
+      : FleetSimulation(fleetSettings(aggregators, cells), seed) {}
+  FleetSimulation(const Settings& settings, unsigned seed) : settings_(settings), random_(seed) {
     for (int i = 0; i < settings_.cells; ++i) add(i, i + 1);
     for (int i = 0; i < settings_.aggregators; ++i) {
       auto ownSettings = settings_;
       ownSettings.seed = 1000U * seed + static_cast<unsigned>(i);
       ownSettings.number = i;
       instances_.push_back({std::make_unique<Aggregator>(ownSettings), {}});
-      handleEvents(instances_.back(), {serverList(ListNews::Scope::initial)});
+      handleEvents(instances_.back(), {serverList(ServerListUpdate::Scope::initial)});
     }
   }
 
@@ -69,7 +69,7 @@
   }
   // All instances receive the current server list.
   void tell() {
-    for (auto& instance : instances_) handleEvents(instance, {serverList(ListNews::Scope::full)});
+    for (auto& instance : instances_) handleEvents(instance, {serverList(ServerListUpdate::Scope::full)});
   }
   // Runs for a time in which queries arrive at random instances, at this total rate, each with `parts`
   // neighbouring shards.
@@ -88,9 +88,9 @@
   }
 
   Nanos now = 1000 * kSec;
-  std::map<ServerId, int> firstTries;  // number of first attempts by server
-  int asked = 0;                       // number of queries
-  int inTime = 0;                      // number of queries answered within the aim
+  std::map<ServerId, int> firstAttempts;  // number of first attempts by server
+  int asked = 0;                          // number of queries
+  int answeredInTime = 0;                 // number of queries answered within the aim
   std::function<void(ServerId)> onSend = [](ServerId) {};
 
  private:
@@ -100,8 +100,8 @@
     std::map<std::string, Nanos> arrived{};                              // by query
   };
 
-  ListNews serverList(ListNews::Scope scope) const {
-    ListNews out{scope, {}};
+  ServerListUpdate serverList(ServerListUpdate::Scope scope) const {
+    ServerListUpdate out{scope, {}};
     for (const auto& [id, node] : nodes_) out.entries.push_back(node.entry);
     return out;
   }
@@ -127,7 +127,7 @@
       } else if (const auto* c = std::get_if<Cancel>(&action)) {
         *instance.attempts.at(c->part).at(static_cast<std::size_t>(c->attempt)) = false;
       } else if (const auto* a = std::get_if<Answer>(&action)) {
-        inTime += now - instance.arrived.at(a->query) <= settings_.classes[0].aim;
+        answeredInTime += now - instance.arrived.at(a->query) <= settings_.classes[0].aim;
       } else if (const auto* t = std::get_if<SetTimer>(&action)) {
         after(t->wait, [this, &instance, token = t->token] { handleEvents(instance, {TimerFired{token}}); });
       }
@@ -138,7 +138,7 @@
     auto& attempts = instance.attempts[s.part];
     const int attempt = static_cast<int>(attempts.size());
     const auto inFlight = attempts.emplace_back(std::make_shared<bool>(true));
-    firstTries[s.server] += attempt == 0;
+    firstAttempts[s.server] += attempt == 0;
     onSend(s.server);
     auto& node = nodes_.at(s.server);
     const auto finish = [this, &instance, s, attempt, inFlight, at = now](Outcome outcome) {
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -2,7 +2,7 @@
 // in one aggregator but harmful in a fleet, where each instance sees only a small part of the traffic.
 #include <algorithm>
 
-#include "fleet_world.hpp"
+#include "fleet_simulation.hpp"
 
 namespace topazweir::test {
 namespace {
@@ -12,34 +12,34 @@
 // ejection, and its queries end before a server could count as unresponsive, so abandoned attempts must
 // add up over queries.
 void sickServersAreTriedByCopies() {
-  FleetWorld w(50, 30);
+  FleetSimulation w(50, 30);
   w.run(6 * kSec, 60, 18);
   for (ServerId id : {4, 11, 20, 27}) w.node(id).slower = 20;
   w.run(4 * kSec, 60, 18);  // all instances have found the slow servers by then
-  w.firstTries.clear();
-  w.asked = w.inTime = 0;
+  w.firstAttempts.clear();
+  w.asked = w.answeredInTime = 0;
   w.run(10 * kSec, 60, 18);
   int all = 0;
   int toSlow = 0;
-  for (const auto& [id, count] : w.firstTries) {
+  for (const auto& [id, count] : w.firstAttempts) {
     all += count;
     if (w.node(id).slower > 1) toSlow += count;
   }
   CHECK(toSlow * 100 < all * 1);  // they are 13 in 100 of the fleet
-  CHECK(w.inTime * 100 > w.asked * 93);
+  CHECK(w.answeredInTime * 100 > w.asked * 93);
   for (ServerId id : {4, 11, 20, 27}) w.node(id).slower = 1;
   w.run(15 * kSec, 60, 18);
-  w.firstTries.clear();
+  w.firstAttempts.clear();
   w.run(10 * kSec, 60, 18);
   for (ServerId id : {4, 11, 20, 27})
-    CHECK(w.firstTries[id] * 30 * 2 > all);  // half of a server's share or more
+    CHECK(w.firstAttempts[id] * 30 * 2 > all);  // half of a server's share or more
 }
 
 // The neighbours of a cold server leave, so that all instances turn to it. Each instance has queries for it
 // only rarely and saves up its slow-start share until then; together they must stay below the load that
 // overloads the server.
 void coldServersWorkAndDoNotTip() {
-  FleetWorld w(100, 30);
+  FleetSimulation w(100, 30);
   w.run(5 * kSec, 70, 18);
   for (ServerId id : {10, 12}) w.node(id).entry.state = ServerState::gone;
   w.node(11).entry.state = ServerState::gone;
@@ -68,30 +68,30 @@
 // other holders in turn, and each instance sheds a share of its queries, so that most of the admitted ones
 // are still answered in time.
 void jamsDoNotFeedThemselves() {
-  FleetWorld w(100, 30);
+  FleetSimulation w(100, 30);
   w.run(5 * kSec, 110, 18);
-  w.asked = w.inTime = 0;
+  w.asked = w.answeredInTime = 0;
   w.run(8 * kSec, 230, 18);  // the capacity is 166 queries/s
-  CHECK(w.inTime * 100 > w.asked * 52);
+  CHECK(w.answeredInTime * 100 > w.asked * 52);
   w.run(2 * kSec, 110, 18);
-  w.asked = w.inTime = 0;
+  w.asked = w.answeredInTime = 0;
   w.run(3 * kSec, 110, 18);
-  CHECK(w.inTime * 100 > w.asked * 85);  // the overload ends soon after its cause
+  CHECK(w.answeredInTime * 100 > w.asked * 85);  // the overload ends soon after its cause
 }
 
 // Two neighbours are drained and the only holder left for their shards is slow and overloaded now and then.
 // It must be kept busy at its capacity, instead of idling between bursts of the parts that waited for it.
 void theLastHolderIsKeptAtWork() {
-  FleetWorld w(2, 12);
+  FleetSimulation w(2, 12);
   w.run(5 * kSec, 100, 4);
   for (ServerId id : {4, 5}) w.node(id).entry.state = ServerState::draining;
   w.node(6).slower = 2;
   w.node(6).room = 10;
   w.tell();
   w.run(1 * kSec, 100, 4);
-  w.asked = w.inTime = 0;
+  w.asked = w.answeredInTime = 0;
   w.run(10 * kSec, 100, 4);
-  CHECK(w.inTime * 100 > w.asked * 48);  // 54 in 100; 40 if blocked at each overload
+  CHECK(w.answeredInTime * 100 > w.asked * 48);  // 54 in 100; 40 if blocked at each overload
 }
 
 }  // namespace
--- a/tests/fronts_test.cpp
+++ b/tests/fronts_test.cpp
@@ -4,8 +4,8 @@
 #include <vector>
 
 #include "check.hpp"
-#include "features/side.hpp"
-#include "lab/stand_in.hpp"
+#include "features/features_service.hpp"
+#include "lab/fake_server.hpp"
 #include "platform/front.hpp"
 #include "platform/node_pool.hpp"
 
@@ -39,14 +39,14 @@
   int requests = 0;  // that reached the servers
 };
 
-config::Config platformConfig() {
-  config::Config config;
+config::PlatformConfig platformConfig() {
+  config::PlatformConfig config;
   Settings& s = config.terms.settings;
   s.seed = 5;
   s.tick = 5 * kMs;
   s.shards = s.cells = s.reach = 1;
   s.maxAttempts = 4;
-  s.secondCopies = s.cancelling = s.retryAfter = true;
+  s.hedging = s.cancelling = s.retryAfter = true;
   s.maxRetryAfter = 2000 * kMs;
   QueryClass c;
   c.name = "search";
@@ -54,7 +54,7 @@
   c.deadline = kDeadline;
   c.lateWorth = 0.3;
   s.classes = {c};
-  config.terms.longestDeadline = 10 * kDeadline;
+  config.terms.maxDeadline = 10 * kDeadline;
   config.connectTimeout = 250 * kMs;
   config.streamsPerConnection = 32;
   return config;
@@ -94,11 +94,11 @@
 
 Result throughPlatform(const Scenario& scenario) {
   Environment environment;
-  NodeSpeaker speaker;
-  std::vector<std::unique_ptr<StandIn>> nodes;
+  FakeNode speaker;
+  std::vector<std::unique_ptr<FakeServer>> nodes;
   platform::NodeList list;
   for (const auto fault : scenario.faults) {
-    nodes.push_back(std::make_unique<StandIn>(environment.loop, speaker, fault));
+    nodes.push_back(std::make_unique<FakeServer>(environment.loop, speaker, fault));
     platform::NodeEntry entry;
     entry.instance = "s" + std::to_string(nodes.size());
     entry.address = Poco::Net::SocketAddress(scenario.listening ? nodes.back()->address() : freeAddress());
@@ -114,7 +114,7 @@
       [&](const auto& id, auto outcome, auto value) { core->attemptEnded(id, outcome, std::move(value)); });
   broker::Broker broker(config.terms, clock, pool, environment.log);
   core = &broker;
-  broker.told(directory.apply(list, ListNews::Scope::full));
+  broker.updateServers(directory.apply(list, ServerListUpdate::Scope::full));
   platform::PlatformFront front(environment.loop, environment.log,
                                 {"platform", Poco::Net::SocketAddress("127.0.0.1", 0)}, broker,
                                 [&] { return print(broker.counters()); });
@@ -130,13 +130,13 @@
   return result;
 }
 
-Result throughFeatures(const Scenario& scenario, FeatureSpeaker speaker = {},
+Result throughFeatures(const Scenario& scenario, FakeFeatures speaker = {},
                        const std::string& target = "/collections/branches/items") {
   Environment environment;
-  std::vector<std::unique_ptr<StandIn>> servers;
+  std::vector<std::unique_ptr<FakeServer>> servers;
   std::vector<config::FeatureServer> list;
   for (const auto fault : scenario.faults) {
-    servers.push_back(std::make_unique<StandIn>(environment.loop, speaker, fault));
+    servers.push_back(std::make_unique<FakeServer>(environment.loop, speaker, fault));
     list.push_back({scenario.listening ? servers.back()->address() : freeAddress(), scenario.state});
   }
   features::FeaturesService service(environment.loop, environment.log, featuresConfig(list));
@@ -157,8 +157,8 @@
       {"one silent", {F::silent, F::none}, true, ServerState::up, 200, 0, kDeadline},
       {"the other silent", {F::none, F::silent}, true, ServerState::up, 200, 0, kDeadline},
       {"both silent", {F::silent, F::silent}, true, ServerState::up, 503, 900 * kMs, kDeadline + kSlack},
-      {"one cut halfway", {F::cutHalfway, F::none}, true, ServerState::up, 200, 0, 1000 * kMs},
-      {"both cut halfway", {F::cutHalfway, F::cutHalfway}, true, ServerState::up, 503, 0, kDeadline + kSlack},
+      {"one cut halfway", {F::truncated, F::none}, true, ServerState::up, 200, 0, 1000 * kMs},
+      {"both cut halfway", {F::truncated, F::truncated}, true, ServerState::up, 503, 0, kDeadline + kSlack},
       {"both reject", {F::rejects, F::rejects}, true, ServerState::up, 503, 0, kDeadline + kSlack},
       {"both err", {F::errs, F::errs}, true, ServerState::up, 503, 0, kDeadline + kSlack},
       {"one noisy", {F::noise, F::none}, true, ServerState::up, 200, 0, 1000 * kMs},
@@ -200,8 +200,8 @@
   const auto second = throughFeatures(one, {}, "/collections/branches/items?limit=1&offset=1");
   CHECK(second.body.find(R"("id":"b")") != std::string::npos &&
         second.body.find("\"next\"") == std::string::npos);
-  FeatureSpeaker cut, loop, away, broken;
-  cut.cutSecond = true;  // the first page is complete, the second is truncated
+  FakeFeatures cut, loop, away, broken;
+  cut.truncateSecond = true;  // the first page is complete, the second is truncated
   loop.second = R"({"type":"FeatureCollection","features":[],"links":[{"rel":"next","href":"?page=2"}]})";
   away.next = "http://127.0.0.1:1/collections/branches/items";
   broken.second = R"({"type":"FeatureCollection","features":[)";
--- a/tests/grpc_faults_test.cpp
+++ b/tests/grpc_faults_test.cpp
@@ -4,7 +4,7 @@
 #include <fstream>
 #include <random>
 
-#include "grpc_world.hpp"
+#include "grpc_harness.hpp"
 #include "h2_peer.hpp"
 
 namespace topazweir::test {
--- a/tests/grpc_world.hpp
+++ b/tests/grpc_harness.hpp
@@ -20,7 +20,7 @@
 
 #include "check.hpp"
 #include "config/operator_config.hpp"
-#include "grpc/side.hpp"
+#include "grpc/grpc_service.hpp"
 
 namespace topazweir::test {
 
@@ -226,17 +226,17 @@
   }
   // Applies an operator file.
   void reload(const std::string& hcl) {
-    runOnLoop([&](grpc::Side& side) {
+    runOnLoop([&](grpc::GrpcService& side) {
       side.reload(*read(hcl).grpc);
       return 0;
     });
   }
-  static config::Operator read(const std::string& hcl) {
+  static config::OperatorConfig read(const std::string& hcl) {
     return config::readOperator(hcl, "test.hcl", config::standalone(7));
   }
   // The current value of a counter, by its printed name.
   std::uint64_t counter(const std::string& name) {
-    const auto all = runOnLoop([](grpc::Side& side) { return side.print(""); });
+    const auto all = runOnLoop([](grpc::GrpcService& side) { return side.print(""); });
     const auto at = ("\n" + all).find("\n" + name + " ");
     CHECK(at != std::string::npos);
     return std::stoull(all.substr(at + name.size() + 1));
@@ -251,7 +251,7 @@
           std::fprintf(stderr, "%s %s\n", std::string(event).c_str(), std::string(message).c_str());
         },
         [&] { return loop.now(); });
-    grpc::Side side(loop, log, *read(hcl).grpc);
+    grpc::GrpcService side(loop, log, *read(hcl).grpc);
     side_ = &side;
     address = side.front().address().toString();
     std::function<void()> poll = [&] {
@@ -275,7 +275,7 @@
   std::mutex mutex_;
   std::vector<std::function<void()>> posted_;
   net::Loop* loop_ = nullptr;
-  grpc::Side* side_ = nullptr;
+  grpc::GrpcService* side_ = nullptr;
   std::thread thread_;
 };
 
--- a/tests/grpc_wire_test.cpp
+++ b/tests/grpc_wire_test.cpp
@@ -1,7 +1,7 @@
 // gRPC through the broker, with grpc++ on both sides: a client must see what its server sent. Guards against
 // changed messages, metadata and statuses, and against deadlines and cancellations that do not reach the
 // server.
-#include "grpc_world.hpp"
+#include "grpc_harness.hpp"
 
 namespace topazweir::test {
 namespace {
@@ -372,7 +372,7 @@
   slow.with("x-ms", "700").start(*client.stub);
   endless.keepOpen().start(*client.stub);
   endless.waitFor(1);
-  broker->runOnLoop([](grpc::Side& side) {
+  broker->runOnLoop([](grpc::GrpcService& side) {
     side.front().drain();
     side.front().stopAccepting();
     return 0;
@@ -381,7 +381,8 @@
   CHECK(slow.status.ok() && slow.received.size() == 1);
   endless.wait();
   CHECK(endless.status.error_code() == ::grpc::StatusCode::UNAVAILABLE && endless.duration >= 1400 * kMs);
-  CHECK(eventually([&] { return broker->runOnLoop([](grpc::Side& side) { return side.front().quiet(); }); }));
+  CHECK(eventually(
+      [&] { return broker->runOnLoop([](grpc::GrpcService& side) { return side.front().quiet(); }); }));
   CHECK(broker->counter("cut_at_drain") == 1);
 }
 
--- a/tests/told_test.cpp
+++ b/tests/inference_test.cpp
@@ -1,6 +1,6 @@
 // What the module infers from messages of peers, from broken connections and from the time a client has left;
 // and partial answers.
-#include "script.hpp"
+#include "module_harness.hpp"
 
 namespace topazweir::test {
 namespace {
@@ -8,7 +8,7 @@
 // Without hedging, so that each send shows a choice of server.
 Settings withoutHedging() {
   auto s = basic();
-  s.secondCopies = false;
+  s.hedging = false;
   return s;
 }
 
@@ -16,14 +16,14 @@
 std::vector<std::string> messagesIn(const std::vector<Action>& actions) {
   std::vector<std::string> messages;
   for (const auto& a : actions)
-    if (const auto* message = std::get_if<Tell>(&a)) messages.push_back(message->bytes);
+    if (const auto* message = std::get_if<SendToPeers>(&a)) messages.push_back(message->bytes);
   return messages;
 }
 
 // The message of a peer that has just sent a part to this server.
 std::string messageFor(ServerId server, Settings s) {
   s.messages = true;
-  Script peer(s);
+  ModuleHarness peer(s);
   ServerEntry e;
   e.server = server;
   peer.list({e});
@@ -37,7 +37,7 @@
 
 TEST(Peers, NothingIsToldWhereMessagesAreNotAllowed) {
   EXPECT_FALSE(messageFor(1, withoutHedging()).empty());
-  Script t(withoutHedging());
+  ModuleHarness t(withoutHedging());
   t.servers(2);
   t.query();
   t.now += 5 * ms;
@@ -51,7 +51,7 @@
   const auto busy = messageFor(1, s);
   ASSERT_FALSE(busy.empty());
   for (const bool heard : {false, true}) {
-    Script t(s);
+    ModuleHarness t(s);
     t.servers(2);
     t.measureDelays({50 * ms, 60 * ms});
     for (int i = 0; i < 12; ++i) t.round(50 * ms);
@@ -65,7 +65,7 @@
 TEST(Peers, OddMessagesAreIgnored) {
   auto s = withoutHedging();
   s.messages = true;
-  Script t(s);
+  ModuleHarness t(s);
   t.servers(2);
   for (const std::string& bytes : {std::string(), std::string("\x01"), std::string(3, '\xff'),
                                    std::string(400, 'x'), std::string("ab\x01")})
@@ -76,7 +76,7 @@
 TEST(Peers, SendThatFailedAtOnceIsNoQueueForAnybody) {
   auto s = withoutHedging();
   s.messages = true;
-  Script t(s);
+  ModuleHarness t(s);
   t.servers(1);
   const auto part = t.query() + ".0";
   t.now += 1 * ms;
@@ -89,7 +89,7 @@
 TEST(Peers, SilentServerIsTriedLastWhenSeveralAgree) {
   auto s = withoutHedging();
   s.messages = true;
-  Script finder(s);
+  ModuleHarness finder(s);
   finder.servers(1);
   for (int i = 0; i < 20; ++i) finder.round(40 * ms);
   finder.query();
@@ -101,14 +101,14 @@
   }
   ASSERT_FALSE(report.empty());
   for (const int peers : {1, 3}) {
-    Script t(s);
+    ModuleHarness t(s);
     t.servers(2);
     t.measureDelays({50 * ms, 200 * ms});
     t.now += 2 * sec;  // there is no recent measurement of either
     for (int i = 0; i < peers; ++i) t.turn({PeerMessage{i + 1, report}});
     EXPECT_EQ(t.attempts[t.query() + ".0"][0], peers > 1 ? 2U : 1U);
   }
-  Script own(s);  // recent measurements of its own outweigh reports
+  ModuleHarness own(s);  // recent measurements of its own outweigh reports
   own.servers(2);
   own.measureDelays({50 * ms, 200 * ms});
   for (int i = 0; i < 3; ++i) own.turn({PeerMessage{i + 1, report}});
@@ -121,7 +121,7 @@
   for (const bool early : {true, false}) {
     auto s = withoutHedging();
     s.shards = 3;
-    Script t(s);
+    ModuleHarness t(s);
     t.servers(6);
     for (int i = 0; i < 20; ++i) t.round(40 * ms);
     const auto id = t.query(3);
@@ -139,8 +139,8 @@
 
 TEST(Connections, HalfOfABudgetIsKeptForPartsThatFailed) {
   auto s = basic();
-  s.budget = AttemptBudget{5 * sec, 4, 0};
-  Script t(s);
+  s.budget = RetryBudget{5 * sec, 4, 0};
+  ModuleHarness t(s);
   t.servers(3);
   for (int i = 0; i < 60; ++i) t.round(40 * ms);
   EXPECT_LE(t.extraAttempts(), 2U);
@@ -154,7 +154,7 @@
 TEST(Connections, WhoCantGoOnSendsItsClientBackSoon) {
   auto s = withoutHedging();
   s.maxAttempts = 1;
-  Script t(s);
+  ModuleHarness t(s);
   t.servers(2);
   for (int i = 0; i < 20; ++i) t.round(40 * ms);
   const auto part = t.query() + ".0";
@@ -178,7 +178,7 @@
 }
 
 TEST(Partial, WhatIsInGoesOutWhileTheClientStillGetsItWithinTheAim) {
-  Script t(withPartialAnswers());
+  ModuleHarness t(withPartialAnswers());
   t.servers(4);
   const Nanos start = t.now;
   const auto id = t.query(4);
@@ -195,7 +195,7 @@
 TEST(Partial, ItWaitsWhereTheWholeIsWorthMoreLater) {
   auto s = withPartialAnswers();
   s.classes[0].lateWorth = 0.9;
-  Script t(s);
+  ModuleHarness t(s);
   t.servers(4);
   const auto id = t.query(4);
   t.now += 40 * ms;
@@ -206,7 +206,7 @@
 }
 
 TEST(Partial, NeverUnderTheFloor) {
-  Script t(withPartialAnswers());
+  ModuleHarness t(withPartialAnswers());
   t.servers(4);
   const auto id = t.query(4);
   t.now += 40 * ms;
@@ -221,7 +221,7 @@
   s.shards = 2;
   s.classes[0].secondStepParts = 2;
   s.classes[0].lateWorth = 0;
-  Script t(s);
+  ModuleHarness t(s);
   t.servers(4);
   const auto id = t.query(2);
   t.now += 40 * ms;
@@ -244,8 +244,8 @@
     auto s = withoutHedging();
     s.classes[0].deadline = 3 * sec;
     s.classes[0].lateWorth = 0;
-    s.repeatsMarked = marked;
-    Script t(s);
+    s.retriesMarked = marked;
+    ModuleHarness t(s);
     t.servers(2);
     for (int i = 0; i < 20; ++i) t.round(40 * ms);  // a first attempt has 2 s
     t.query(1, 0, 1700 * ms);                       // 1.3 s have passed
@@ -256,8 +256,8 @@
 TEST(ClientTime, ClientInAHurryIsServed) {
   auto s = withoutHedging();
   s.classes[0].lateWorth = 0;
-  s.repeatsMarked = false;
-  Script t(s);
+  s.retriesMarked = false;
+  ModuleHarness t(s);
   t.servers(2);
   for (int i = 0; i < 20; ++i) t.round(40 * ms);
   t.query(1, 0, 500 * ms);
--- a/tests/large_test.cpp
+++ b/tests/large_test.cpp
@@ -3,7 +3,7 @@
 #include <random>
 #include <set>
 
-#include "script.hpp"
+#include "module_harness.hpp"
 
 namespace topazweir::test {
 namespace {
@@ -12,12 +12,12 @@
 Settings sharedCell(int shards) {
   auto s = basic();
   s.shards = shards;
-  s.secondCopies = false;
+  s.hedging = false;
   return s;
 }
 
 // Like Script::query, with the id and the retry mark as arguments; returns the actions.
-std::vector<Action> startQuery(Script& t, const std::string& id, int parts, bool repeat,
+std::vector<Action> startQuery(ModuleHarness& t, const std::string& id, int parts, bool repeat,
                                Nanos left = 2 * sec) {
   ++t.lastQueryNumber;
   std::vector<Event> events{QueryArrived{id, t.lastQueryNumber, 0, left, parts, repeat}};
@@ -28,7 +28,7 @@
 }
 
 // The parts of the query that have been sent at least once.
-std::vector<std::string> sentParts(const Script& t, const std::string& id) {
+std::vector<std::string> sentParts(const ModuleHarness& t, const std::string& id) {
   std::vector<std::string> parts;
   for (const auto& [part, servers] : t.attempts)
     if (part.rfind(id + ".", 0) == 0) parts.push_back(part);
@@ -37,7 +37,7 @@
 
 std::string numbered(std::string prefix, int number) { return prefix.append(std::to_string(number)); }
 
-bool logged(const Script& t, const std::string& what) {
+bool logged(const ModuleHarness& t, const std::string& what) {
   return std::any_of(t.logs.begin(), t.logs.end(),
                      [&](const std::string& line) { return line.find(what) != std::string::npos; });
 }
@@ -45,7 +45,7 @@
 // ---- queries that crash servers ----
 
 TEST(Killing, QueryWhosePartsAllBreakIsEndedWithoutFurtherAttempts) {
-  Script t(sharedCell(3));
+  ModuleHarness t(sharedCell(3));
   t.servers(8);
   startQuery(t, "k", 3, false);
   ASSERT_EQ(t.sends.size(), 3U);
@@ -61,7 +61,7 @@
 }
 
 TEST(Killing, InnocentQueryOnACrashedServerIsServedElsewhere) {
-  Script t(sharedCell(3));
+  ModuleHarness t(sharedCell(3));
   t.servers(8);
   startQuery(t, "v", 3, false);
   ASSERT_EQ(t.sends.size(), 3U);
@@ -80,7 +80,7 @@
 }
 
 TEST(Killing, RepeatTriesOnePartWhileConnectionsBreak) {
-  Script t(sharedCell(3));
+  ModuleHarness t(sharedCell(3));
   t.servers(8);
   startQuery(t, "k", 3, false);
   t.now += 20 * ms;
@@ -103,14 +103,14 @@
 }
 
 TEST(Killing, QuietTimesHoldNoRepeatBack) {
-  Script t(sharedCell(3));
+  ModuleHarness t(sharedCell(3));
   t.servers(20);
   startQuery(t, "r", 3, true);
   EXPECT_EQ(t.sends.size(), 3U);
 }
 
 TEST(Killing, WideQueryTriesOnePartWhereThereIsTime) {
-  Script t(sharedCell(6));
+  ModuleHarness t(sharedCell(6));
   t.servers(8);
   for (int i = 0; i < 40; ++i) t.round(40 * ms);
   startQuery(t, "w", 6, false);
@@ -124,7 +124,7 @@
 // ---- retry storms after quick failures ----
 
 TEST(Closed, FullServerGetsNothingUntilItsBenchEnds) {
-  Script t(basic());
+  ModuleHarness t(basic());
   t.servers(1);
   for (int i = 0; i < 20; ++i) t.round(40 * ms);
   const auto first = t.query() + ".0";
@@ -146,16 +146,16 @@
 TEST(Cold, SeventyAggregatorsTogetherStayUnderTheLimit) {
   auto s = basic();
   s.aggregators = 70;
-  s.coldFrom = 0.15;
-  s.coldFor = 16 * sec;
-  s.tipMultiple = 2.5;
-  s.tipWindow = 1 * sec;
+  s.coldCapacityShare = 0.15;
+  s.warmUpTime = 16 * sec;
+  s.overloadMultiple = 2.5;
+  s.overloadWindow = 1 * sec;
   const Nanos start = 100 * sec;
   std::vector<Nanos> sends;
   for (int n = 0; n < 70; ++n) {
     s.seed = static_cast<std::uint64_t>(1000 + n);
     s.number = n;
-    Script t(s);
+    ModuleHarness t(s);
     ServerEntry fresh;
     fresh.server = 1;
     fresh.startedAt = start;
@@ -183,7 +183,7 @@
 // The number of queries rejected before one is admitted (60: none was), where the expected delay is nine
 // tenths of the aim.
 int rejectedBeforeOneIsAdmitted(bool clientsRetry) {
-  Script t(basic());
+  ModuleHarness t(basic());
   t.servers(1);
   for (int i = 0; i < 10; ++i) t.round(900 * ms);
   for (int i = 0; i < 60; ++i) {
@@ -209,7 +209,7 @@
 TEST(Aim, CountsFromTheFirstTryReadOffARepeatsTimeLeft) {
   auto s = basic();
   s.classes[0].lateWorth = 0;
-  Script t(s);
+  ModuleHarness t(s);
   t.servers(3);
   t.round(40 * ms);                          // a first attempt has the full 2 s
   startQuery(t, "gone", 1, true, 700 * ms);  // 1.3 s have passed, and with them the aim of 1 s
@@ -222,7 +222,7 @@
 // ---- stalls of the aggregator, timers and random input ----
 
 TEST(Stall, GapWithAllEventsInOneTurnBlamesNobody) {
-  Script t(basic());
+  ModuleHarness t(basic());
   t.servers(6);
   for (int i = 0; i < 60; ++i) t.round(40 * ms);
   std::vector<std::string> parts;
@@ -244,11 +244,11 @@
   // request was far off, and no timer was set for a query that arrived in between.
   auto s = basic();
   s.listOnRequest = true;
-  s.askWithin = 10 * sec;
-  Script t(s);
+  s.listRequestInterval = 10 * sec;
+  ModuleHarness t(s);
   t.servers(2);
   for (int i = 0; i < 6; ++i) {  // each failure doubles the back-off
-    t.turn({ListNews{ListNews::Scope::failed, {}}});
+    t.turn({ServerListUpdate{ServerListUpdate::Scope::failed, {}}});
     t.now += i < 5 ? 6 * sec : 0;
   }
   ++t.lastQueryNumber;
@@ -270,16 +270,16 @@
   s.cells = 4;
   s.reach = 2;
   s.maxAttempts = 3;
-  s.coldFrom = 0.2;
-  s.coldFor = 8 * sec;
-  s.tipMultiple = 3;
-  s.tipWindow = 1 * sec;
-  s.budget = AttemptBudget{5 * sec, 5, 0.2};
+  s.coldCapacityShare = 0.2;
+  s.warmUpTime = 8 * sec;
+  s.overloadMultiple = 3;
+  s.overloadWindow = 1 * sec;
+  s.budget = RetryBudget{5 * sec, 5, 0.2};
   s.classes.push_back(s.classes[0]);
   s.classes[1].effect = Effect::unsafe;
   s.classes.push_back(s.classes[0]);
   s.classes[2].need = s.classes[2].floor = 0.5;
-  Script t(s);
+  ModuleHarness t(s);
   std::mt19937_64 engine(seed);
   const auto random = [&](int n) { return static_cast<int>(engine() % static_cast<std::uint64_t>(n)); };
   std::map<ServerId, ServerEntry> fleet;
@@ -310,7 +310,7 @@
       e.state = random(4) == 0 ? (random(2) ? ServerState::draining : ServerState::gone) : ServerState::up;
       if (random(2)) e.startedAt = t.now - random(3000) * ms;
       fleet[e.server] = e;
-      events.push_back(ListNews{ListNews::Scope::changes, {e}});
+      events.push_back(ServerListUpdate{ServerListUpdate::Scope::changes, {e}});
     }
     for (auto at = outstanding.begin(); at != outstanding.end();) {
       if (random(4)) {
--- a/tests/membership_parts_test.cpp
+++ b/tests/membership_parts_test.cpp
@@ -11,10 +11,10 @@
 #include "config/operator_config.hpp"
 #include "dissemination/disseminator.hpp"
 #include "fleet/codec.hpp"
-#include "fleet/council.hpp"
+#include "fleet/raft_group.hpp"
+#include "membership/limit_sharing.hpp"
 #include "membership/load_meter.hpp"
-#include "membership/sharers.hpp"
-#include "membership/standing.hpp"
+#include "membership/membership_state.hpp"
 #include "processes/process.hpp"
 
 namespace topazweir::test {
@@ -43,15 +43,16 @@
   CHECK(read.news.size() == 5 && read.news[4].by == "n9" && read.news[4].incarnation == 1ULL << 40);
   CHECK(read.news[0].state == State::suspect && read.news[0].published.revision == 3 &&
         read.news[0].published.duty == Duty::serving && read.news[0].zone == "zone");
-  CHECK(std::get<fleet::Unread>(fleet::decode(bytes, "g")) == fleet::Unread::foreign);
+  CHECK(std::get<fleet::DecodeError>(fleet::decode(bytes, "g")) == fleet::DecodeError::foreign);
 }
 
 // Truncation at each byte, corrupted bytes and random noise must never decode to an out-of-bounds message.
 void malformedBytesAreRejected() {
   const auto bytes = fleet::encode(fullMessage(), "f");
   for (std::size_t i = 0; i < bytes.size(); ++i)
-    CHECK(std::holds_alternative<fleet::Unread>(fleet::decode(std::string_view(bytes).substr(0, i), "f")));
-  CHECK(std::holds_alternative<fleet::Unread>(fleet::decode(bytes + "x", "f")));
+    CHECK(
+        std::holds_alternative<fleet::DecodeError>(fleet::decode(std::string_view(bytes).substr(0, i), "f")));
+  CHECK(std::holds_alternative<fleet::DecodeError>(fleet::decode(bytes + "x", "f")));
   std::mt19937_64 random(3);
   for (int i = 0; i < 20'000; ++i) {
     auto altered = bytes;
@@ -61,7 +62,7 @@
       for (const auto& r : message->news) CHECK(!r.name.empty() && r.name.size() <= kMostText);
     std::string noise(random() % 100, '\0');
     for (auto& byte : noise) byte = static_cast<char>(random());
-    CHECK(std::holds_alternative<fleet::Unread>(fleet::decode(noise, "f")));
+    CHECK(std::holds_alternative<fleet::DecodeError>(fleet::decode(noise, "f")));
   }
 }
 
@@ -73,7 +74,7 @@
   CHECK(std::holds_alternative<Message>(fleet::decode(bytes + '\x05', "f")));
   bytes = fleet::encode(m, "f");
   bytes[4] = 2;
-  CHECK(std::get<fleet::Unread>(fleet::decode(bytes, "f")) == fleet::Unread::otherVersion);
+  CHECK(std::get<fleet::DecodeError>(fleet::decode(bytes, "f")) == fleet::DecodeError::otherVersion);
 }
 
 // Datagrams are filled by weight(), so no record may take more bytes on the wire.
@@ -97,7 +98,7 @@
 }
 
 void sharesFollowTheHighestRecentCount() {
-  Sharers sharers(60 * kSec, 4);
+  LimitSharing sharers(60 * kSec, 4);
   CHECK(sharers.now(detectorKnowing({}), kSec) ==
         (Share{4, 0}));  // the configured count, until other members can have been seen
   const std::vector<Record> many{record("n1"),
@@ -117,15 +118,15 @@
 
 void standingDependsOnReachableVoters() {
   const std::vector<std::string> voters{"n1", "n2", "n5"};
-  CHECK(standing(detectorKnowing({}), voters, true) == Standing::alone);
-  CHECK(standing(detectorKnowing({record("n3")}), voters, true) == Standing::minority);
-  CHECK(standing(detectorKnowing({record("n1", State::suspect)}), voters, true) == Standing::alone);
-  CHECK(standing(detectorKnowing({record("n1")}), voters, true) == Standing::agreed);
+  CHECK(standing(detectorKnowing({}), voters, true) == MembershipState::isolated);
+  CHECK(standing(detectorKnowing({record("n3")}), voters, true) == MembershipState::minority);
+  CHECK(standing(detectorKnowing({record("n1", State::suspect)}), voters, true) == MembershipState::isolated);
+  CHECK(standing(detectorKnowing({record("n1")}), voters, true) == MembershipState::majority);
   CHECK(standing(detectorKnowing({record("n1")}), {}, true) ==
-        Standing::minority);  // without voters there is no majority
-  CHECK(standing(detectorKnowing({}), {"n5"}, true) == Standing::agreed);
+        MembershipState::minority);  // without voters there is no majority
+  CHECK(standing(detectorKnowing({}), {"n5"}, true) == MembershipState::majority);
   CHECK(standing(detectorKnowing({record("n1")}), voters, false) ==
-        Standing::minority);  // no leader is known
+        MembershipState::minority);  // no leader is known
 }
 
 void loadCoversRecentRequests() {
@@ -199,11 +200,12 @@
   };
   const auto usual = read(""), given = read("relays = [\"n2\", \"n3\"]\nfanOut = 4\nchangeBytesPerS = 512\n");
   CHECK(usual.membership->relays.empty() && usual.membership->fanOut == 5 &&
-        usual.membership->changeBytesPerS == 2048);
+        usual.membership->changeBytesPerSecond == 2048);
   CHECK(given.membership->relays == (std::vector<std::string>{"n2", "n3"}) && given.membership->fanOut == 4 &&
-        given.membership->changeBytesPerS == 512);
+        given.membership->changeBytesPerSecond == 512);
   CHECK(*usual.membership == *read("").membership && !(*usual.membership == *given.membership));
-  const auto shows = [](const config::Operator& file, const std::string& path, const std::string& value) {
+  const auto shows = [](const config::OperatorConfig& file, const std::string& path,
+                        const std::string& value) {
     return std::any_of(file.settings.begin(), file.settings.end(), [&](const config::Setting& s) {
       return s.path == "membership." + path && s.value == value;
     });
@@ -214,18 +216,19 @@
 
 void differencesBetweenViewsAreMarked() {
   const std::string head = "ACK self=n1 fleet=f standing=agreed alive=2 known=2 doubts=0\n";
-  const auto one = cli::readView(
+  const auto one = cli::parseView(
       "127.0.0.1:1", head + "n1 alive serving 5 0 - 1 a:1 0 0\nn2 alive serving 5 0 - 1 a:2 3 9\n");
-  const auto two = cli::readView("127.0.0.1:2", head +
-                                                    "n1 alive serving 4 0 - 1 a:1 0 0\nn2 failed serving 1 0 "
-                                                    "- 1 a:2 3 9\nn3 alive serving 1 0 - 1 a:3 0 0\n");
+  const auto two =
+      cli::parseView("127.0.0.1:2", head +
+                                        "n1 alive serving 4 0 - 1 a:1 0 0\nn2 failed serving 1 0 "
+                                        "- 1 a:2 3 9\nn3 alive serving 1 0 - 1 a:3 0 0\n");
   CHECK(one.self == "n1" && one.standing == "agreed" && one.rows.size() == 2 && one.rows[1].refused == "9");
   const auto same = cli::compare({one, one}), other = cli::compare({one, two});
   CHECK(same.find("\n!") == std::string::npos && same.find("n2") != std::string::npos);
   CHECK(other.find("\n! n2") != std::string::npos && other.find("\n! n3") != std::string::npos &&
         other.find("\n! n1") == std::string::npos);
-  CHECK(cli::readView("a", "NAK unknown call\n").fault == "NAK unknown call");
-  CHECK(cli::compare({one, cli::readView("a", "")}).find("# a: no answer") != std::string::npos);
+  CHECK(cli::parseView("a", "NAK unknown call\n").fault == "NAK unknown call");
+  CHECK(cli::compare({one, cli::parseView("a", "")}).find("# a: no answer") != std::string::npos);
 }
 
 // Only the leader's counts cover the fleet; head lines of older versions have no such fields.
@@ -233,9 +236,9 @@
   const std::string head = "ACK self=n1 fleet=f standing=agreed alive=6 known=6 doubts=0 leader=",
                     row = "\nn1 alive serving 5 0 - 1 a:1 0 0\n";
   const auto shown = [&](const std::string& more) {
-    return cli::compare({cli::readView("127.0.0.1:1", head + more + row)});
+    return cli::compare({cli::parseView("127.0.0.1:1", head + more + row)});
   };
-  const auto before = cli::readView("127.0.0.1:1", head + "n1 term=2 decided=7" + row);
+  const auto before = cli::parseView("127.0.0.1:1", head + "n1 term=2 decided=7" + row);
   CHECK(before.rows.size() == 1 && before.low.empty() && before.behind.empty());
   CHECK(shown("n1 term=2 decided=7 position=99/7 age=0.0 parent=- in_force=99/7 members=5 level=5")
             .find("\n# in force: 7 at all of 5 counted (6 known alive)\n") != std::string::npos);
@@ -332,26 +335,28 @@
 
 // The first leader writes the generation of a new voters' state before anything else; later leaders keep it.
 void generationIsWrittenOnce() {
-  config::Membership config;
+  config::MembershipConfig config;
   config.name = "n1";
   config.fleet = "f";
   config.voters = {{"n1", "127.0.0.1:1"}};
-  config.state = scratchFolder("generation");
+  config.state = temporaryFolder("generation");
   config.period = kSec;
   std::string generation;
   for (const Nanos start : {1'700'000'000 * kSec, 1'700'000'100 * kSec}) {
-    fleet::Council council(config, 1, start);
+    fleet::RaftGroup raftGroup(config, 1, start);
     std::vector<agreement::Command> applied;
     Nanos now = start;
-    const auto done = [&] { return council.held().find(fleet::Council::kCoordinator) && council.leads(); };
+    const auto done = [&] {
+      return raftGroup.held().find(fleet::RaftGroup::kCoordinatorKey) && raftGroup.leads();
+    };
     for (int i = 0; i < 1000 && (i == 0 || !done()); ++i) {
-      council.tick(now += kSec / 10);
-      for (auto& command : council.takeApplied()) applied.push_back(std::move(command));
+      raftGroup.tick(now += kSec / 10);
+      for (auto& command : raftGroup.takeApplied()) applied.push_back(std::move(command));
     }
     CHECK(done());
-    for (int i = 0; i < 20; ++i) council.tick(now += kSec / 10);
-    const auto* held = council.held().find(dissemination::kGenerationKey);
-    CHECK(held && held->fence == 1 && council.held().commands() == 2);
+    for (int i = 0; i < 20; ++i) raftGroup.tick(now += kSec / 10);
+    const auto* held = raftGroup.held().find(dissemination::kGenerationKey);
+    CHECK(held && held->fence == 1 && raftGroup.held().commands() == 2);
     CHECK(!applied.empty() && applied.front().key == dissemination::kGenerationKey);
     const auto ms = std::strtoll(held->value.c_str(), nullptr, 10);
     CHECK(ms >= 1'700'000'000'000 && ms < 1'700'000'100'000);
@@ -404,7 +409,7 @@
   held.apply({"role/coordinator", "n1", 0});
   held.apply({"permit/a", "x", 0});
   Message answer{.kind = Kind::followReply, .sender = "n1", .from = "127.0.0.1:7001"};
-  answer.payload = agreement::answerToFollower(held, true, 2);
+  answer.payload = agreement::encodeFollowerReply(held, true, 2);
   const auto answered = isBoth(
       "9ba2747701a16608a26e31ae3132372e302e302e313a37303031a00092000090d94992c3d94592039393ae6c"
       "6f672f67656e65726174696f6ead313730303030303030303030300193a87065726d69742f61a1780393b072"
@@ -427,14 +432,14 @@
   const auto read = std::get<Message>(fleet::decode(bytes, "dawa"));
   CHECK(read.kind == Kind::dissemination && read.sender == message.sender && read.payload == message.payload);
   CHECK(bytes.size() <= message.payload.size() + message.sender.size() + 4 + 24);
-  CHECK(!byStream(Kind::dissemination) && !byStream(Kind::agreement) && !byStream(Kind::ack));
-  CHECK(byStream(Kind::sync) && byStream(Kind::syncReply) && byStream(Kind::follow) &&
-        byStream(Kind::followReply));
+  CHECK(!usesStream(Kind::dissemination) && !usesStream(Kind::agreement) && !usesStream(Kind::ack));
+  CHECK(usesStream(Kind::sync) && usesStream(Kind::syncReply) && usesStream(Kind::follow) &&
+        usesStream(Kind::followReply));
   // An unknown kind, as dissemination was to older members, is malformed.
   auto later = message;
   later.kind = static_cast<Kind>(kKinds);
-  CHECK(std::get<fleet::Unread>(fleet::decode(fleet::encode(later, "dawa"), "dawa")) ==
-        fleet::Unread::broken);
+  CHECK(std::get<fleet::DecodeError>(fleet::decode(fleet::encode(later, "dawa"), "dawa")) ==
+        fleet::DecodeError::broken);
 }
 
 }  // namespace
--- a/tests/script.hpp
+++ b/tests/module_harness.hpp
@@ -25,7 +25,7 @@
   s.cells = 1;
   s.reach = 1;
   s.maxAttempts = 4;
-  s.secondCopies = true;
+  s.hedging = true;
   s.cancelling = true;
   s.retryAfter = true;
   s.maxRetryAfter = 1 * sec;
@@ -41,8 +41,8 @@
 }
 
 // An aggregator with a clock that only the test moves. Query ids are "q<number>", part ids "<query>.<index>".
-struct Script {
-  explicit Script(Settings initial) : settings(initial), aggregator(std::move(initial)) {}
+struct ModuleHarness {
+  explicit ModuleHarness(Settings initial) : settings(initial), aggregator(std::move(initial)) {}
 
   // Handles the events at the present time, records the actions and returns them.
   std::vector<Action> turn(std::vector<Event> events) {
@@ -77,8 +77,8 @@
     }
   }
   // Delivers a server list update.
-  void list(std::vector<ServerEntry> entries, ListNews::Scope scope = ListNews::Scope::full) {
-    turn({ListNews{scope, std::move(entries)}});
+  void list(std::vector<ServerEntry> entries, ServerListUpdate::Scope scope = ServerListUpdate::Scope::full) {
+    turn({ServerListUpdate{scope, std::move(entries)}});
   }
   // Announces the servers 1 to `count` as a full list.
   void servers(int count) {
--- a/tests/node_pool_test.cpp
+++ b/tests/node_pool_test.cpp
@@ -2,7 +2,7 @@
 #include "platform/node_pool.hpp"
 
 #include "check.hpp"
-#include "lab/stand_in.hpp"
+#include "lab/fake_server.hpp"
 #include "platform/descriptor_shares.hpp"
 
 namespace topazweir::test {
@@ -14,7 +14,7 @@
 
 // A fake node: once it has received `wanted` parts, it answers with what the test's function returns for
 // them.
-struct ScriptedNode : Speaker {
+struct ScriptedNode : FakeProtocol {
   std::size_t wanted = 1;
   std::function<std::string(const std::vector<std::string>&)> respond;
   std::vector<std::string> parts;
@@ -34,7 +34,7 @@
   net::Loop loop;
   broker::Log log{[](auto, auto) {}, [] { return Nanos{0}; }};
   ScriptedNode speaker;
-  StandIn node{loop, speaker, Fault::none};
+  FakeServer node{loop, speaker, Fault::none};
   platform::Directory directory;
   std::map<std::string, std::pair<Outcome, std::string>> ended;  // by part id
   std::map<broker::AttemptId, std::string> partIds;
@@ -47,7 +47,7 @@
   PoolFixture() {
     platform::NodeList list;
     list.entries.push_back({.instance = "s", .address = Poco::Net::SocketAddress(node.address())});
-    directory.apply(list, ListNews::Scope::full);
+    directory.apply(list, ServerListUpdate::Scope::full);
   }
   broker::AttemptId start(const std::string& partId, Nanos wait = 5000 * kMs, ServerId to = 1) {
     const broker::AttemptId id{static_cast<broker::RequestNo>(partIds.size() + 1), 0, 0};
@@ -62,7 +62,7 @@
   // Sends 20 parts, b.0 to b.19, on the first connection, all answered at once: enough for the mean response
   // time to be used.
   void answerTwentyParts() {
-    speaker.respond = [](const auto& parts) { return NodeSpeaker::answer(parts[0]); };
+    speaker.respond = [](const auto& parts) { return FakeNode::answer(parts[0]); };
     for (int i = 0; i < 20; ++i) start("b." + std::to_string(i));
   }
   bool endedAs(const std::string& partId, Outcome outcome) {
@@ -71,7 +71,7 @@
   }
 };
 
-std::string validAnswer(const std::string& partId) { return NodeSpeaker::answer(partId); }
+std::string validAnswer(const std::string& partId) { return FakeNode::answer(partId); }
 
 // Two parts on one connection: the first gets a valid answer, which is followed by input that fails the
 // second. A third part, sent in reaction to the first answer, must not go to that connection.
@@ -213,12 +213,12 @@
 // At that limit the connection that has been idle for longest is closed, never one that is in use.
 void idleConnectionsAreEvicted() {
   PoolFixture w;
-  StandIn other(w.loop, w.speaker, Fault::none), third(w.loop, w.speaker, Fault::none);
+  FakeServer other(w.loop, w.speaker, Fault::none), third(w.loop, w.speaker, Fault::none);
   platform::NodeList list;
   for (const auto* node : {&w.node, &other, &third})
     list.entries.push_back({.instance = "s" + std::to_string(list.entries.size()),
                             .address = Poco::Net::SocketAddress(node->address())});
-  w.directory.apply(list, ListNews::Scope::full);
+  w.directory.apply(list, ServerListUpdate::Scope::full);
   w.pool.limit({32, 0, 250 * kMs, 2});
   w.speaker.respond = [](const auto& parts) {
     return parts[0] == "a.1" ? std::string() : validAnswer(parts[0]);
--- a/tests/operation_test.cpp
+++ b/tests/operation_test.cpp
@@ -21,25 +21,25 @@
 Operation process(Nanos startedAt, std::int64_t pid = 1) { return {"n0", {startedAt, pid}, kColdFor}; }
 
 Answered execute(Operation& to, const std::string& line, Nanos now, bool listed = true) {
-  const auto read = readCall(line);
+  const auto read = parseCommand(line);
   CHECK(std::holds_alternative<Call>(read));
   return to.call(std::get<Call>(read), listed, now);
 }
 
 void parsesCommandLines() {
-  CHECK(std::get<Call>(readCall("  disable-server \t s-1\r")).instance == "s-1");
-  CHECK(std::get<Call>(readCall("ready")).kind == CallKind::ready);
+  CHECK(std::get<Call>(parseCommand("  disable-server \t s-1\r")).instance == "s-1");
+  CHECK(std::get<Call>(parseCommand("ready")).kind == CommandKind::ready);
   for (const std::string line :
        {"", "  ", "READY", "ready now", "disable-server", "enable-server a b", "drain x",
         "re\x01"
         "ady"})
-    CHECK(std::holds_alternative<std::string>(readCall(line)));
-  CHECK(std::holds_alternative<std::string>(readCall("disable-server " + std::string(129, 'x'))));
+    CHECK(std::holds_alternative<std::string>(parseCommand(line)));
+  CHECK(std::holds_alternative<std::string>(parseCommand("disable-server " + std::string(129, 'x'))));
   std::mt19937 random(3);
   for (int i = 0; i < 20'000; ++i) {  // garbage is an error, or a command with its argument
     std::string line(random() % 40, ' ');
     for (char& c : line) c = static_cast<char>(random());
-    const auto read = readCall(line);
+    const auto read = parseCommand(line);
     CHECK(std::holds_alternative<std::string>(read) || !std::get<Call>(read).instance.empty());
   }
 }
@@ -101,24 +101,25 @@
 
 void youngerProcessTakesOver() {
   auto older = process(kStart, 1);
-  // Without another process it waits for the list, up to kLongestStart, but not for connections.
-  CHECK(!older.mayServe({}, kStart) && !older.mayServe({false, true}, kStart + Operation::kLongestStart - 1));
-  CHECK(older.mayServe({true, false}, kStart) && older.mayServe({}, kStart + Operation::kLongestStart));
+  // Without another process it waits for the list, up to kMaxStartNs, but not for connections.
+  CHECK(!older.mayServe({}, kStart) && !older.mayServe({false, true}, kStart + Operation::kMaxStartNs - 1));
+  CHECK(older.mayServe({true, false}, kStart) && older.mayServe({}, kStart + Operation::kMaxStartNs));
   older.serves();
   const Nanos now = kStart + 100 * kSec;
   auto younger = process(now, 2);
   younger.heard(older.record("[list]", now), now);
   CHECK(younger.accompanied(now) && !younger.followed(now));
   CHECK(!younger.mayServe({}, now + kSec) && !younger.mayServe({true, false}, now + kSec));
-  CHECK(younger.mayServe({true, true}, now + kSec) && younger.mayServe({}, now + Operation::kLongestStart));
+  CHECK(younger.mayServe({true, true}, now + kSec) && younger.mayServe({}, now + Operation::kMaxStartNs));
   older.heard(younger.record({}, now), now);
   CHECK(!older.followed(now));  // it does not accept clients yet
   younger.serves();
   older.heard(younger.record({}, now), now);
   older.ends();
   CHECK(older.followed(now) && older.takesClients(now));  // the younger process does
-  CHECK(!older.followed(now + Operation::kAlive + 1) &&
-        !older.takesClients(now + Operation::kAlive + 1));  // its records have stopped: it counts as dead
+  CHECK(!older.followed(now + Operation::kPeerTimeoutNs + 1) &&
+        !older.takesClients(now + Operation::kPeerTimeoutNs +
+                            1));  // its records have stopped: it counts as dead
   auto foreign = younger.record({}, now);
   foreign.aggregator = "n1";
   foreign.drained = {true, now + 1};
@@ -146,7 +147,7 @@
   for (std::size_t i = 0; i < Holds::kMost; ++i) CHECK(holds.set(std::to_string(i), true, kStart));
   CHECK(!holds.set("more", true, kStart) && holds.set("more", false, kStart));
   for (std::size_t i = 0; i < Holds::kMost; ++i) holds.set(std::to_string(i), false, kStart);
-  CHECK(holds.set("more", true, kStart + Holds::kKept + 2) && holds.all().size() == 1);
+  CHECK(holds.set("more", true, kStart + Holds::kRetentionNs + 2) && holds.all().size() == 1);
 }
 
 // A leaf taken out by operators stays draining whatever server lists say. When it is put back it counts as
@@ -159,7 +160,9 @@
     entry.instance = "s-1";
     entry.state = state;
     entry.startedAt = startedAt;
-    return directory.apply({1, full, false, {entry}}, full ? ListNews::Scope::full : ListNews::Scope::changes)
+    return directory
+        .apply({1, full, false, {entry}},
+               full ? ServerListUpdate::Scope::full : ServerListUpdate::Scope::changes)
         .entries.at(0);
   };
   CHECK(list(ServerState::up, 0, true).state == ServerState::up);
--- a/tests/operator_test.cpp
+++ b/tests/operator_test.cpp
@@ -87,7 +87,7 @@
       std::fprintf(stderr, "%s: %s\n", text.c_str(), message.c_str());
     CHECK(message.rfind("f:", 0) == 0 && message.find(expected) != std::string::npos);
   }
-  survivesGarbage(kAll, [](const std::vector<std::string>& pieces) {
+  checkGarbageInput(kAll, [](const std::vector<std::string>& pieces) {
     std::string all;
     for (const auto& p : pieces) all += p;
     try {
--- a/tests/parsers_test.cpp
+++ b/tests/parsers_test.cpp
@@ -15,8 +15,8 @@
 namespace topazweir::test {
 namespace {
 
+using http::MessageKind;
 using http::Parser;
-using http::Side;
 
 // Describes the state of an HTTP parser as text, for comparison.
 std::string describe(Parser& parser, Parser::Progress progress, const std::string& input) {
@@ -29,9 +29,9 @@
   return out + (head.keepAlive ? "|keep|" : "|close|") + std::string(parser.body(input));
 }
 
-Parse httpParse(Side side) {
-  return [side](const std::vector<std::string>& pieces) {
-    Parser parser(side);
+ParseFunction httpParse(MessageKind kind) {
+  return [kind](const std::vector<std::string>& pieces) {
+    Parser parser(kind);
     std::string input;
     auto progress = Parser::Progress::more;
     for (const auto& piece : pieces) {
@@ -43,7 +43,7 @@
 }
 
 // Parses `text` in one piece.
-std::string once(Side side, const std::string& text) { return httpParse(side)({text}); }
+std::string once(MessageKind kind, const std::string& text) { return httpParse(kind)({text}); }
 
 const std::string kPostRequest =
     "POST /wide-search HTTP/1.1\r\nHost: a\r\nReq-Id:  q1 \r\nContent-Length: 5\r\n\r\nhello";
@@ -52,14 +52,14 @@
 
 void httpMessages() {
   for (const auto& [side, text] :
-       {std::pair{Side::request, kPostRequest}, {Side::response, kChunkedResponse}}) {
-    sameAtEveryCut(text, httpParse(side));
-    survivesGarbage(text, httpParse(side));
+       {std::pair{MessageKind::request, kPostRequest}, {MessageKind::response, kChunkedResponse}}) {
+    checkSplitInvariance(text, httpParse(side));
+    checkGarbageInput(text, httpParse(side));
   }
-  CHECK(once(Side::request, kPostRequest).find("Req-Id=q1|") != std::string::npos);
-  CHECK(once(Side::response, kChunkedResponse).substr(0, 6) == "  200|");
-  CHECK(once(Side::response, kChunkedResponse).find("hello!") != std::string::npos);
-  Parser parser(Side::request);  // two pipelined requests: the second stays unchanged
+  CHECK(once(MessageKind::request, kPostRequest).find("Req-Id=q1|") != std::string::npos);
+  CHECK(once(MessageKind::response, kChunkedResponse).substr(0, 6) == "  200|");
+  CHECK(once(MessageKind::response, kChunkedResponse).find("hello!") != std::string::npos);
+  Parser parser(MessageKind::request);  // two pipelined requests: the second stays unchanged
   std::string input = kPostRequest + kPostRequest;
   CHECK(parser.parse(input) == Parser::Progress::complete);
   parser.next(input);
@@ -78,20 +78,20 @@
         "Content-Length: -1\r\n", "Content-Length: 1 \r\n x\r\n", "Content-Length: 0x1\r\n",
         "Content-Length: 99999999999999999999\r\n", "Transfer-Encoding: gzip, chunked\r\n", "A : b\r\n",
         "A: b\r\n folded\r\n", "Host: b\r\n", "A: b\nC: d\r\n", ": b\r\n"})
-    CHECK(once(Side::request, head(fields)) == "fault 400");
-  CHECK(once(Side::request, head("Content-Length: 65537\r\n")) == "fault 413");
-  CHECK(once(Side::request, "GET / HTTP/2.0\r\n\r\n") == "fault 505");
-  CHECK(once(Side::request, "GET / HTTP/1.1\r\n\r\n") == "fault 400");  // no Host
-  CHECK(once(Side::request, "GET http://a/ HTTP/1.1\r\nHost: a\r\n\r\n") == "fault 400");
-  CHECK(once(Side::request, "GET / HTTP/1.1\r\nA: " + std::string(20000, 'x')) == "fault 431");
+    CHECK(once(MessageKind::request, head(fields)) == "fault 400");
+  CHECK(once(MessageKind::request, head("Content-Length: 65537\r\n")) == "fault 413");
+  CHECK(once(MessageKind::request, "GET / HTTP/2.0\r\n\r\n") == "fault 505");
+  CHECK(once(MessageKind::request, "GET / HTTP/1.1\r\n\r\n") == "fault 400");  // no Host
+  CHECK(once(MessageKind::request, "GET http://a/ HTTP/1.1\r\nHost: a\r\n\r\n") == "fault 400");
+  CHECK(once(MessageKind::request, "GET / HTTP/1.1\r\nA: " + std::string(20000, 'x')) == "fault 431");
   const std::string chunks = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-  CHECK(once(Side::response, chunks + "zz\r\n") == "fault 400");
-  CHECK(once(Side::response, chunks + "20000\r\n") == "fault 413");
-  CHECK(once(Side::response, chunks + "1\r\nabc") == "fault 400");
-  CHECK(once(Side::response, chunks + std::string(300, '1')) == "fault 400");
+  CHECK(once(MessageKind::response, chunks + "zz\r\n") == "fault 400");
+  CHECK(once(MessageKind::response, chunks + "20000\r\n") == "fault 413");
+  CHECK(once(MessageKind::response, chunks + "1\r\nabc") == "fault 400");
+  CHECK(once(MessageKind::response, chunks + std::string(300, '1')) == "fault 400");
 }
 
-Parse frameParse() {
+ParseFunction frameParse() {
   return [](const std::vector<std::string>& pieces) {
     std::string input, out;
     for (const auto& piece : pieces) {
@@ -112,8 +112,8 @@
 void frames() {
   std::string text = "R9b1f.3 done 184 -\nvalue\nwith a line";
   const std::string reply = std::string("\0\0\0", 3) + static_cast<char>(text.size()) + text;
-  sameAtEveryCut(reply + reply, frameParse());
-  survivesGarbage(reply, frameParse());
+  checkSplitInvariance(reply + reply, frameParse());
+  checkGarbageInput(reply, frameParse());
   CHECK(frameParse()({reply}) == "9b1f.3=value\nwith a line;");
   CHECK(frameParse()({std::string("\0\0\0\0", 4)}) == "fault");
   CHECK(frameParse()({std::string("\x7f\0\0\0", 4)}) == "fault");
@@ -130,12 +130,12 @@
     R"("machineType":"m2","cell":3,"lifecycle":"Terminating","weight":1.0,"startedAtMs":5}]})";
 
 void lists() {
-  const Parse parse = [](const std::vector<std::string>& pieces) {
+  const ParseFunction parse = [](const std::vector<std::string>& pieces) {
     std::string text, why;
     for (const auto& piece : pieces) text += piece;
     return platform::readNodeList(text, {"a", "b"}, why) ? "list" : why;
   };
-  survivesGarbage(kList, parse);
+  checkGarbageInput(kList, parse);
   std::string why;
   const auto list = platform::readNodeList(kList, {"a", "b"}, why);
   CHECK(list && list->full && list->generation == 41 && list->entries.size() == 1);
@@ -165,7 +165,7 @@
       R"({"targets":[{"partition":3,"share":0.5,"est_us":9000},{"partition":9,"share":0.5}],"query":"c4"})";
   const auto status = [&](const std::string& target, const std::string& fields, const std::string& text) {
     const std::string message = "POST " + target + " HTTP/1.1\r\nHost: a\r\n" + fields + "\r\n";
-    Parser parser(Side::request);
+    Parser parser(MessageKind::request);
     std::string input = message;
     CHECK(parser.parse(input) == Parser::Progress::complete);
     const auto read = platform::readQuery(parser.head(input), text, terms);
@@ -200,7 +200,7 @@
   CHECK(features::split(features::join(read->features)) == read->features);
   CHECK(features::split("").empty());
   for (std::size_t cut = 0; cut + 1 < page.size(); ++cut) CHECK(!features::readPage(page.substr(0, cut)));
-  survivesGarbage(page, [](const std::vector<std::string>& pieces) {
+  checkGarbageInput(page, [](const std::vector<std::string>& pieces) {
     std::string text;
     for (const auto& piece : pieces) text += piece;
     return std::string(features::readPage(text) ? "page" : "none");
@@ -220,7 +220,7 @@
     CHECK(std::holds_alternative<std::string>(features::readItemsQuery(malformed)));
   const auto good =
       features::readItemsQuery("bbox=36.6,-1.5,37.1,-1.1&limit=99999&datetime=2026-01-01T00:00:00Z/..");
-  CHECK(std::get<features::ItemsQuery>(good).limit == features::ItemsQuery::kMostLimit);
+  CHECK(std::get<features::ItemsQuery>(good).limit == features::ItemsQuery::kMaxLimit);
 }
 
 }  // namespace
--- a/tests/processes/aggregator.hpp
+++ b/tests/processes/aggregator.hpp
@@ -9,33 +9,33 @@
 #include <memory>
 #include <set>
 
-#include "lab/stand_in.hpp"
-#include "ops_call.hpp"
+#include "event_loop_test.hpp"
+#include "lab/fake_server.hpp"
+#include "operator_call.hpp"
 #include "process.hpp"
-#include "steps.hpp"
 
 namespace topazweir::test {
 
 // A fake leaf that counts the parts it has answered.
-struct CountingLeaf : lab::NodeSpeaker {
+struct CountingLeaf : lab::FakeNode {
   std::optional<std::string> reply(std::string& input, lab::Fault fault) override {
-    auto out = lab::NodeSpeaker::reply(input, fault);
+    auto out = lab::FakeNode::reply(input, fault);
     if (out) ++parts;
     return out;
   }
   int parts = 0;
 };
 
-class AggregatorWorld : public Stage {
+class AggregatorProcesses : public Stage {
  public:
-  AggregatorWorld(std::string program, const std::string& name, int leafs)
-      : program_(std::move(program)), folder_(scratchFolder(name)) {
+  AggregatorProcesses(std::string program, const std::string& name, int leafs)
+      : program_(std::move(program)), folder_(temporaryFolder(name)) {
     for (int i = 0; i < leafs; ++i) {
       speakers.push_back(std::make_unique<CountingLeaf>());
-      leafs_.push_back(std::make_unique<lab::StandIn>(loop, *speakers.back(), lab::Fault::none));
+      leafs_.push_back(std::make_unique<lab::FakeServer>(loop, *speakers.back(), lab::Fault::none));
     }
     agentSpeaker_.list = list();
-    agent_ = std::make_unique<lab::StandIn>(loop, agentSpeaker_, lab::Fault::none);
+    agent_ = std::make_unique<lab::FakeServer>(loop, agentSpeaker_, lab::Fault::none);
     listener_.bind(Poco::Net::SocketAddress("127.0.0.1", 0), true, false);
     listener_.listen(kBacklog);
     std::filesystem::create_directories(folder_ + "/tmp");
@@ -175,9 +175,9 @@
   }
 
   std::string program_, folder_;
-  std::vector<std::unique_ptr<lab::StandIn>> leafs_;
-  lab::AgentSpeaker agentSpeaker_;
-  std::unique_ptr<lab::StandIn> agent_;
+  std::vector<std::unique_ptr<lab::FakeServer>> leafs_;
+  lab::FakeDiscoveryAgent agentSpeaker_;
+  std::unique_ptr<lab::FakeServer> agent_;
   Poco::Net::ServerSocket listener_;
   std::list<Query> queries_;
   Nanos interval_ = 0;
--- a/tests/processes/fleet.hpp
+++ b/tests/processes/fleet.hpp
@@ -9,11 +9,11 @@
 #include <sstream>
 
 #include "cli/members.hpp"
-#include "lab/stand_in.hpp"
-#include "ops_call.hpp"
+#include "event_loop_test.hpp"
+#include "lab/fake_server.hpp"
+#include "operator_call.hpp"
 #include "process.hpp"
 #include "relay.hpp"
-#include "steps.hpp"
 
 namespace topazweir::test {
 
@@ -25,7 +25,7 @@
   // The first `voters` members are voters. All random choices come from the seed, which is printed on a
   // failure.
   FleetProcesses(std::string program, const std::string& name, int voters, std::uint64_t seed)
-      : program_(std::move(program)), folder_(scratchFolder(name)), voters_(voters), random_(seed) {
+      : program_(std::move(program)), folder_(temporaryFolder(name)), voters_(voters), random_(seed) {
     seed_ = seed;
   }
 
@@ -72,15 +72,15 @@
   Process& process(int i) { return *members_.at(i).process; }
 
   // The view of each of these members, queried at the same time; empty for a member that does not answer.
-  std::map<int, cli::View> views(const std::vector<int>& observers) {
+  std::map<int, cli::MembershipView> views(const std::vector<int>& observers) {
     std::map<int, std::unique_ptr<OperatorCall>> calls;
     for (const int i : observers)
       calls[i] = std::make_unique<OperatorCall>(loop, operatorAddress(i), "members");
     until("answers of members", [&] {
       return std::all_of(calls.begin(), calls.end(), [](const auto& c) { return c.second->done(); });
     });
-    std::map<int, cli::View> out;
-    for (const auto& [i, call] : calls) out[i] = cli::readView(operatorAddress(i), call->answer());
+    std::map<int, cli::MembershipView> out;
+    for (const auto& [i, call] : calls) out[i] = cli::parseView(operatorAddress(i), call->answer());
     return out;
   }
   // Waits until each of `observers` sees each of `subjects` in one of the states; "" is an unknown member.
@@ -184,7 +184,7 @@
     }
   }
   std::string stateFile(int i) const { return folder_ + "/state/voter." + kFleet + "." + nameOf(i); }
-  static std::string stateOf(const cli::View& view, int i) {
+  static std::string stateOf(const cli::MembershipView& view, int i) {
     for (const auto& row : view.rows)
       if (row.name == nameOf(i)) return row.state;
     return {};
--- a/tests/processes/process.hpp
+++ b/tests/processes/process.hpp
@@ -24,7 +24,7 @@
 namespace topazweir::test {
 
 // Creates a temporary folder for this test process; it is removed at exit, also after a failed CHECK.
-inline std::string scratchFolder(const std::string& name) {
+inline std::string temporaryFolder(const std::string& name) {
   static std::vector<std::string> folders;
   if (folders.empty())
     std::atexit([] {
--- a/tests/processes/relay.hpp
+++ b/tests/processes/relay.hpp
@@ -10,8 +10,8 @@
 
 #include "fleet/codec.hpp"
 #include "net/connection.hpp"
-#include "net/datagrams.hpp"
 #include "net/listener.hpp"
+#include "net/udp_socket.hpp"
 
 namespace topazweir::test {
 
@@ -103,7 +103,7 @@
     if (at == streams_.end()) return;
     const auto stream = *at;
     streams_.erase(at);
-    if (stream.incoming.get() != &c) return stream.incoming->closeGently();
+    if (stream.incoming.get() != &c) return stream.incoming->closeGracefully();
     if (stream.outgoing) stream.outgoing->close();
   }
 
@@ -112,7 +112,7 @@
   std::string fleet_;
   Paths paths_;
   std::mt19937_64 random_;
-  net::Datagrams datagrams_;
+  net::UdpSocket datagrams_;
   net::Listener listener_;
   std::list<Stream> streams_;
 };
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -12,9 +12,9 @@
 #include <functional>
 
 #include "check.hpp"
-#include "lab/stand_in.hpp"
+#include "lab/fake_server.hpp"
 #include "platform/discovery.hpp"
-#include "processes/steps.hpp"
+#include "processes/event_loop_test.hpp"
 #include "scratch.hpp"
 
 namespace topazweir::test {
@@ -75,8 +75,8 @@
 
 void drainsOnSigterm(const char* path) {
   net::Loop loop;
-  NodeSpeaker speaker;
-  StandIn node(loop, speaker, Fault::slow);
+  FakeNode speaker;
+  FakeServer node(loop, speaker, Fault::slow);
   const std::string listen = freeAddress();
   const std::string file = scratchFile("program_test.json");
   std::ofstream(file)
@@ -132,15 +132,15 @@
 // node, the second one does.
 void reloadsItsConfiguration(const char* path) {
   net::Loop loop;
-  NodeSpeaker nodes;
-  StandIn node(loop, nodes, Fault::none);
-  AgentSpeaker emptyAgent;
-  AgentSpeaker nodeAgent;
+  FakeNode nodes;
+  FakeServer node(loop, nodes, Fault::none);
+  FakeDiscoveryAgent emptyAgent;
+  FakeDiscoveryAgent nodeAgent;
   emptyAgent.list = R"({"generation":9,"reset":true,"instances":[]})";
   nodeAgent.list =
       R"({"generation":3,"reset":true,"instances":[{"instanceId":"s","hostPort":")" + node.address() +
       R"(","zone":"a","machineType":"m","cell":0,"lifecycle":"Ready","weight":1,"startedAtMs":0}]})";
-  StandIn first(loop, emptyAgent, Fault::none), second(loop, nodeAgent, Fault::none);
+  FakeServer first(loop, emptyAgent, Fault::none), second(loop, nodeAgent, Fault::none);
   const std::string listen = freeAddress();
   const std::string file = scratchFile("reread_test.json");
   const auto write = [&](const std::string& discovery, const std::string& sockets) {
@@ -275,7 +275,7 @@
                                 Poco::Net::SocketAddress(agent.address()),
                                 {"a"},
                                 0,
-                                platform::RetryPace(1, false, 1),
+                                platform::DiscoveryRetryPolicy(1, false, 1),
                                 [this](const auto& l) { generations.push_back(l.generation); }};
   void await(const std::string& what, const std::function<bool()>& holds) {
     const auto pollAndCheck = [&] {
@@ -410,8 +410,8 @@
 // The real program serves with the list that a later request brings.
 void servesByTheHedgedRequest(const char* path) {
   Stage stage;
-  NodeSpeaker nodes;
-  StandIn node(stage.loop, nodes, Fault::none);
+  FakeNode nodes;
+  FakeServer node(stage.loop, nodes, Fault::none);
   HoldingAgent agent;
   const std::string listen = freeAddress(), file = scratchFile("held_test.json");
   std::ofstream(file)
@@ -472,8 +472,8 @@
 // The event loop must not spin: Poco keeps polling for writable after its observer has been removed.
 void idleLoopDoesNotSpin() {
   net::Loop loop;
-  NodeSpeaker speaker;
-  StandIn node(loop, speaker, Fault::none);
+  FakeNode speaker;
+  FakeServer node(loop, speaker, Fault::none);
   Client client(loop, node.address(), platform::writeCall("q.0", 0, 1000 * kMs, "x"));
   client.stopsLoop = false;
   loop.after(600 * kMs, [&] { loop.stop(); });
--- a/tests/retry_pace_test.cpp
+++ b/tests/retry_pace_test.cpp
@@ -1,8 +1,6 @@
 // Retry policy of the discovery client. When many aggregators lose their watch at once, their
 // requests must not keep the one service that they all ask overloaded, and each must still have its list by
 // the deadline.
-#include "platform/retry_pace.hpp"
-
 #include <algorithm>
 #include <deque>
 #include <functional>
@@ -11,6 +9,7 @@
 #include <vector>
 
 #include "check.hpp"
+#include "platform/discovery_retry_policy.hpp"
 
 namespace topazweir::test {
 namespace {
@@ -44,7 +43,7 @@
 Result simulateOutage(int clients, Nanos end, Nanos up = 0) {
   Service service;
   Result out;
-  std::vector<platform::RetryPace> paces;
+  std::vector<platform::DiscoveryRetryPolicy> paces;
   std::multimap<Nanos, std::size_t> next;
   std::map<Nanos, int> requestsPerSecond;
   for (int i = 0; i < clients; ++i) {
@@ -97,7 +96,7 @@
 }
 
 void smallFleetRetriesSoon() {
-  platform::RetryPace pace(3, false, 1);
+  platform::DiscoveryRetryPolicy pace(3, false, 1);
   for (const Nanos most : {60, 120, 240, 480, 480}) {
     const Nanos wait = pace.nextWait(0);
     CHECK(wait > 0 && wait <= most * kMs);
@@ -108,7 +107,7 @@
 }
 
 void waitsAreBoundedForAnyFleetSize() {
-  platform::RetryPace pace(1'000'000, false, 1);
+  platform::DiscoveryRetryPolicy pace(1'000'000, false, 1);
   for (int i = 0; i < 10; ++i)
     CHECK(pace.nextWait(0) <= 30'000 * kMs && pace.answerTimeout(0) <= 15'000 * kMs);
 }
@@ -117,7 +116,7 @@
 void firstRequestsAreSpread() {
   std::map<Nanos, int> requestsPerTenth;
   for (unsigned i = 0; i < 100; ++i)
-    ++requestsPerTenth[platform::RetryPace(100, false, i).nextWait(0) / (100 * kMs)];
+    ++requestsPerTenth[platform::DiscoveryRetryPolicy(100, false, i).nextWait(0) / (100 * kMs)];
   for (const auto& [tenth, requests] : requestsPerTenth) CHECK(requests < 25);
 }
 
@@ -127,15 +126,15 @@
 Nanos latestList(int clients, bool pushed, Nanos silence, Nanos start) {
   Nanos longest = 0;
   for (unsigned seed = 0; seed < 500; ++seed) {
-    platform::RetryPace pace(clients, pushed, seed);
+    platform::DiscoveryRetryPolicy pace(clients, pushed, seed);
     Nanos now = start;
     silence > 0 ? pace.recordData(now) : pace.recordMove(now);
     now += silence;
     if (silence > 0) now += pace.nextWait(now);
-    now += platform::RetryPace::kConnectTimeoutNs;
+    now += platform::DiscoveryRetryPolicy::kConnectTimeoutNs;
     now += pace.answerTimeout(now);  // unresponsive
     now += pace.nextWait(now);
-    now += platform::RetryPace::kConnectTimeoutNs;
+    now += platform::DiscoveryRetryPolicy::kConnectTimeoutNs;
     longest = std::max(longest, now - start);
   }
   return longest;
@@ -147,7 +146,7 @@
 void updatesMeetTheDeadline() {
   for (const int clients : {1, 3, 48, 300, 1'000'000})
     for (const bool pushed : {false, true}) {
-      CHECK(latestList(clients, pushed, platform::RetryPace::kWatchIdleTimeoutNs, 100'000 * kMs) <=
+      CHECK(latestList(clients, pushed, platform::DiscoveryRetryPolicy::kWatchIdleTimeoutNs, 100'000 * kMs) <=
             5700 * kMs);
       CHECK(latestList(clients, pushed, 0, 100'000 * kMs) <= 3700 * kMs);
     }
@@ -156,12 +155,12 @@
 // After any sequence of failures: from the moment whose state the last request reports (its start, or its
 // refusal) at most 6 s pass to the list of the next one, with the longest connects and 1 s for the answer.
 void updatesMeetTheDeadlineAfterAnyFailures() {
-  constexpr Nanos kConnect = platform::RetryPace::kConnectTimeoutNs, kAnswer = 1000 * kMs;
+  constexpr Nanos kConnect = platform::DiscoveryRetryPolicy::kConnectTimeoutNs, kAnswer = 1000 * kMs;
   for (const int clients : {1, 3, 48, 150, 300, 2000, 1'000'000})
     for (const bool pushed : {false, true})
       for (unsigned seed = 0; seed < 200; ++seed) {
         std::mt19937_64 random(seed);
-        platform::RetryPace pace(clients, pushed, seed);
+        platform::DiscoveryRetryPolicy pace(clients, pushed, seed);
         Nanos now = 100'000 * kMs;
         pace.recordMove(now);
         for (int request = 0; request < 20; ++request) {
@@ -184,7 +183,7 @@
 
 // A service that always refuses at once is asked less often: a small fleet's waits grow, a large one's stay.
 void refusalsBackOff() {
-  platform::RetryPace small(3, false, 1), large(400, false, 1);
+  platform::DiscoveryRetryPolicy small(3, false, 1), large(400, false, 1);
   Nanos wait = 0;
   for (Nanos now = 10'000 * kMs, requests = 0; requests < 5; ++requests, now += wait)
     wait = small.nextWait(now, true);
@@ -216,7 +215,7 @@
   FleetSimulation(ServiceModel service, int clients, std::uint64_t seed, bool withoutHedging = false)
       : service_(service), withoutHedging_(withoutHedging), random_(seed) {
     for (int i = 0; i < clients; ++i) {
-      clients_.emplace_back(platform::RetryPace(clients, false, random_()));
+      clients_.emplace_back(platform::DiscoveryRetryPolicy(clients, false, random_()));
       clients_.back().pace.recordData(0);
       scheduleRequest(clients_.size() - 1, false);
     }
@@ -239,8 +238,8 @@
  private:
   static constexpr std::size_t kNone = static_cast<std::size_t>(-1);
   struct Client {
-    explicit Client(platform::RetryPace p) : pace(std::move(p)) {}
-    platform::RetryPace pace;
+    explicit Client(platform::DiscoveryRetryPolicy p) : pace(std::move(p)) {}
+    platform::DiscoveryRetryPolicy pace;
     std::size_t current = kNone;  // request
     std::size_t kept = kNone;     // request
     bool asked = false;
@@ -453,10 +452,10 @@
 // A request is kept for as long as a slow service needs for the whole fleet, within bounds; only one is kept.
 void keptRequestTimeoutIsBounded() {
   for (const int clients : {1, 200, 2000, 1'000'000}) {
-    const platform::RetryPace pace(clients, false, 1);
+    const platform::DiscoveryRetryPolicy pace(clients, false, 1);
     CHECK(pace.keptRequestTimeout(false) >= std::min(1'800'000, std::max(60'000, clients * 250)) * kMs);
     CHECK(pace.keptRequestTimeout(false) <= 1'800'000 * kMs && pace.keptRequestTimeout(true) == 0);
-    CHECK(platform::RetryPace(clients, true, 1).keptRequestTimeout(false) ==
+    CHECK(platform::DiscoveryRetryPolicy(clients, true, 1).keptRequestTimeout(false) ==
           0);  // an agent answers at once or not at all
   }
 }
@@ -464,7 +463,7 @@
 // A local agent learns nothing while discovery is down, and what it gets then counts as announced at once. So
 // after an outage of any length it must be asked often enough for the time that a drain allows.
 void agentIsAskedOften() {
-  platform::RetryPace pace(300, true, 1);
+  platform::DiscoveryRetryPolicy pace(300, true, 1);
   pace.recordData(0);
   for (Nanos now = 10'000 * kMs; now < 40'000 * kMs;) {
     const Nanos wait = pace.nextWait(now);
--- a/tests/robustness_test.cpp
+++ b/tests/robustness_test.cpp
@@ -3,13 +3,13 @@
 // equal actions.
 #include <limits>
 
-#include "script.hpp"
+#include "module_harness.hpp"
 
 namespace topazweir::test {
 namespace {
 
 TEST(Robust, UnknownIdsAreIgnored) {
-  Script script(basic());
+  ModuleHarness script(basic());
   script.servers(2);
   script.turn({AttemptEnded{"nobody", 0, 1, Outcome::delivered, 5}, QueryExpired{"nobody"}, TimerFired{99},
                PartArrived{"stray", 77, 0, 1.0}});
@@ -24,7 +24,7 @@
 }
 
 TEST(Robust, EmptyTurnsAndQueriesWithoutParts) {
-  Script script(basic());
+  ModuleHarness script(basic());
   EXPECT_TRUE(script.turn({}).empty());
   script.servers(2);
   const auto id = script.query(0);
@@ -34,7 +34,7 @@
 }
 
 TEST(Robust, RepeatedQueryNumberAndId) {
-  Script script(basic());
+  ModuleHarness script(basic());
   script.servers(2);
   const auto id = script.query();
   script.turn({QueryArrived{id, 1, 0, sec, 1, false}, QueryArrived{"other", 1, 0, sec, 1, false}});
@@ -44,7 +44,7 @@
 }
 
 TEST(Robust, ClassAndShardOutOfRange) {
-  Script script(basic());
+  ModuleHarness script(basic());
   script.servers(2);
   script.turn({QueryArrived{"bad", 50, 9, sec, 1, false}, PartArrived{"bad.0", 50, 0, 1.0}});
   EXPECT_EQ(script.finals["bad"], 1);
@@ -57,11 +57,11 @@
 
 TEST(Robust, AbsurdListEntries) {
   auto settings = basic();
-  settings.coldFrom = 0.2;
-  settings.coldFor = 10 * sec;
-  settings.tipMultiple = 3;
-  settings.tipWindow = sec;
-  Script script(settings);
+  settings.coldCapacityShare = 0.2;
+  settings.warmUpTime = 10 * sec;
+  settings.overloadMultiple = 3;
+  settings.overloadWindow = sec;
+  ModuleHarness script(settings);
   ServerEntry entry;
   entry.server = 1;
   entry.capacity = std::numeric_limits<double>::quiet_NaN();
@@ -77,7 +77,7 @@
   auto settings = basic();
   settings.shards = 2;
   settings.cells = 2;
-  Script script(settings);
+  ModuleHarness script(settings);
   ServerEntry first, second;
   first.server = 1;
   second.server = 2;
@@ -85,14 +85,14 @@
   script.list({first, second});
   first.cell = 1;
   second.cell = 0;
-  script.list({first, second}, ListNews::Scope::changes);
+  script.list({first, second}, ServerListUpdate::Scope::changes);
   const auto id = script.query(2);
   EXPECT_EQ(script.attempts[id + ".0"].at(0), 2U);
   EXPECT_EQ(script.attempts[id + ".1"].at(0), 1U);
 }
 
 TEST(Robust, NegativeDelaysAndTimeLeft) {
-  Script script(basic());
+  ModuleHarness script(basic());
   script.servers(2);
   const auto expired = script.query(1, 0, -5 * sec);
   EXPECT_EQ(script.finals[expired], 1);
@@ -113,7 +113,7 @@
   settings.reach = 3;
   EXPECT_TRUE(findFault(settings));
   settings = basic();
-  settings.coldFrom = 0;
+  settings.coldCapacityShare = 0;
   EXPECT_TRUE(findFault(settings));
 }
 
@@ -121,7 +121,7 @@
   const auto actionTrace = [](std::uint64_t seed) {
     auto settings = basic();
     settings.seed = seed;
-    Script script(settings);
+    ModuleHarness script(settings);
     script.servers(3);
     for (int i = 0; i < 200; ++i) script.round((20 + i % 7) * ms);
     std::string trace;
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -3,7 +3,7 @@
 // budget).
 #include <malloc.h>
 
-#include "script.hpp"
+#include "module_harness.hpp"
 
 namespace topazweir::test {
 namespace {
@@ -11,7 +11,7 @@
 // Each send is then a first attempt or a retry.
 Settings withoutHedging() {
   auto s = basic();
-  s.secondCopies = false;
+  s.hedging = false;
   return s;
 }
 
@@ -19,7 +19,7 @@
 
 TEST(Mechanism, LowestLastDelayWins) {
   for (const bool firstIsFast : {true, false}) {
-    Script t(withoutHedging());
+    ModuleHarness t(withoutHedging());
     t.servers(2);
     t.measureDelays(firstIsFast ? std::vector<Nanos>{50 * ms, 400 * ms}
                                 : std::vector<Nanos>{400 * ms, 50 * ms});
@@ -28,7 +28,7 @@
 }
 
 TEST(Mechanism, PendingReplicaIsSetAside) {
-  Script t(withoutHedging());
+  ModuleHarness t(withoutHedging());
   t.servers(2);
   // Server 1 has the shorter expected delay even with an outstanding part.
   t.measureDelays({40 * ms, 150 * ms});
@@ -39,7 +39,7 @@
 }
 
 TEST(Mechanism, SetAsideGivesWayWhenTheOthersLookFarSlower) {
-  Script t(withoutHedging());
+  ModuleHarness t(withoutHedging());
   t.servers(2);
   t.measureDelays({50 * ms, 900 * ms});
   const auto first = t.query() + ".0";
@@ -49,7 +49,7 @@
 }
 
 TEST(Mechanism, LowestGuessWinsWhenAllAreSetAside) {
-  Script t(withoutHedging());
+  ModuleHarness t(withoutHedging());
   t.servers(3);
   t.measureDelays({100 * ms, 110 * ms, 120 * ms});
   for (int i = 0; i < 3; ++i) t.query();
@@ -58,7 +58,7 @@
 }
 
 TEST(Mechanism, GuessIsTheRoundsLargestWhenSomethingWasHeard) {
-  Script t(withoutHedging());
+  ModuleHarness t(withoutHedging());
   t.servers(3);
   t.measureDelays({100 * ms, 120 * ms, 560 * ms});
   const auto a = t.query() + ".0";
@@ -74,19 +74,19 @@
   ServerEntry draining;
   draining.server = 2;
   draining.state = ServerState::draining;
-  t.list({draining}, ListNews::Scope::changes);
+  t.list({draining}, ServerListUpdate::Scope::changes);
   // By the age of its part alone, server 1 would look over 1.5 times faster than server 3.
   const auto d = t.query() + ".0";
   EXPECT_EQ(t.attempts[d][0], 3U);
 }
 
 TEST(Mechanism, UnheardReplicaCountsAsTheShardsMean) {
-  Script t(withoutHedging());
+  ModuleHarness t(withoutHedging());
   t.servers(2);
   t.measureDelays({100 * ms, 300 * ms});
   ServerEntry fresh;
   fresh.server = 3;
-  t.list({fresh}, ListNews::Scope::changes);
+  t.list({fresh}, ServerListUpdate::Scope::changes);
   const auto first = t.query() + ".0";
   const auto second = t.query() + ".0";
   EXPECT_EQ(t.attempts[first][0], 1U);   // measured at 100 ms; the mean is 200 ms
@@ -94,7 +94,7 @@
 }
 
 TEST(Mechanism, TwinsStayNearATenthAndGoToOtherReplicas) {
-  Script t(basic());
+  ModuleHarness t(basic());
   t.servers(3);
   std::map<ServerId, int> hedgesByServer;
   for (int i = 0; i < 400; ++i) {
@@ -116,7 +116,7 @@
 TEST(Mechanism, FirstAnswerWinsAndTheLoserIsCancelledAtOnce) {
   auto s = basic();
   s.shards = 2;
-  Script t(s);
+  ModuleHarness t(s);
   t.servers(2);
   for (int i = 0; i < 60; ++i) {
     const auto id = t.query(2);
@@ -141,7 +141,7 @@
     auto s = basic();
     s.classes[0].effect = effect;
     s.classes[0].keyedWindow = 5 * sec;
-    Script t(s);
+    ModuleHarness t(s);
     t.servers(2);
     for (int i = 0; i < 100; ++i) t.round(20 * ms);
     EXPECT_EQ(t.extraAttempts(), 0U);
@@ -149,7 +149,7 @@
 }
 
 TEST(Mechanism, TwinsStandDownInAJam) {
-  Script t(basic());
+  ModuleHarness t(basic());
   t.servers(3);
   for (int i = 0; i < 120; ++i) t.round(30 * ms);
   for (int i = 0; i < 120; ++i) t.round(200 * ms);  // the median is now far above that without queueing
@@ -161,7 +161,7 @@
 // ---- no query lost ----
 
 TEST(NoQueryLost, SilentServersStillGetAFinalAnswerInTime) {
-  Script t(basic());
+  ModuleHarness t(basic());
   t.servers(2);
   const auto id = t.query(1, 0, 1500 * ms);
   const Nanos deadline = t.now + 1500 * ms;
@@ -175,7 +175,7 @@
 }
 
 TEST(NoQueryLost, NoServersAtAllRefusesAtOnce) {
-  Script t(basic());
+  ModuleHarness t(basic());
   const auto id = t.query();
   EXPECT_EQ(t.finals[id], 1);
   ASSERT_EQ(t.refusals.size(), 1U);
@@ -186,14 +186,14 @@
 TEST(NoQueryLost, NoAdviceWhereClientsDoNotReceiveIt) {
   auto s = basic();
   s.retryAfter = false;
-  Script t(s);
+  ModuleHarness t(s);
   t.query();
   ASSERT_EQ(t.refusals.size(), 1U);
   EXPECT_EQ(t.refusals[0].retryAfter, 0);
 }
 
 TEST(NoQueryLost, ClientGoneEndsAllAndSendsNothingMore) {
-  Script t(basic());
+  ModuleHarness t(basic());
   t.servers(2);
   const auto id = t.query();
   t.turn({QueryExpired{id}});
@@ -207,7 +207,7 @@
 TEST(NoQueryLost, WorthlessAfterTheAimEndsAtTheAim) {
   auto s = basic();
   s.classes[0].lateWorth = 0;
-  Script t(s);
+  ModuleHarness t(s);
   t.servers(2);
   const auto id = t.query(1, 0, 2 * sec);
   const Nanos start = t.now;
@@ -221,7 +221,7 @@
   for (const auto outcome : {Outcome::error, Outcome::reset, Outcome::timedOut, Outcome::cancelled}) {
     auto s = basic();
     s.classes[0].effect = Effect::unsafe;
-    Script t(s);
+    ModuleHarness t(s);
     t.servers(2);
     const auto id = t.query();
     t.now += 20 * ms;
@@ -237,7 +237,7 @@
   for (const auto outcome : {Outcome::rejected, Outcome::connectFailed, Outcome::notSent}) {
     auto s = basic();
     s.classes[0].effect = Effect::unsafe;
-    Script t(s);
+    ModuleHarness t(s);
     t.servers(2);
     const auto id = t.query();
     t.now += 20 * ms;
@@ -250,7 +250,7 @@
   auto s = basic();
   s.classes[0].effect = Effect::unsafe;
   s.maxAttempts = 1;
-  Script t(s);
+  ModuleHarness t(s);
   t.servers(2);
   const auto id = t.query();
   t.end(id + ".0", 0, Outcome::connectFailed);
@@ -263,8 +263,8 @@
     auto s = basic();
     s.classes[0].effect = Effect::keyed;
     s.classes[0].keyedWindow = 300 * ms;
-    s.secondCopies = false;
-    Script t(s);
+    s.hedging = false;
+    ModuleHarness t(s);
     t.servers(2);
     const auto id = t.query();
     t.pass(within ? 250 * ms : 300 * ms);
@@ -276,7 +276,7 @@
 TEST(NoEffectTwice, AttemptsStayWithinTheMost) {
   auto s = basic();
   s.maxAttempts = 3;
-  Script t(s);
+  ModuleHarness t(s);
   t.servers(4);
   const auto part = t.query() + ".0";
   for (int i = 0; i < 10; ++i) {
@@ -289,7 +289,7 @@
 }
 
 TEST(NoEffectTwice, NoSecondCopyWhereNotAllowed) {
-  Script t(withoutHedging());
+  ModuleHarness t(withoutHedging());
   t.servers(3);
   for (int i = 0; i < 50; ++i) t.round(20 * ms);
   const auto part = t.query() + ".0";
@@ -305,14 +305,14 @@
   one.server = 1;
   two.server = 2;
   for (const auto removal : {Removal::draining, Removal::gone, Removal::unlisted}) {
-    Script t(withoutHedging());
+    ModuleHarness t(withoutHedging());
     t.servers(2);
     t.measureDelays({20 * ms, 200 * ms});
     if (removal == Removal::unlisted) {
       t.list({two});  // a full list without server 1
     } else {
       one.state = removal == Removal::draining ? ServerState::draining : ServerState::gone;
-      t.list({one}, ListNews::Scope::changes);
+      t.list({one}, ServerListUpdate::Scope::changes);
     }
     const auto before = t.sends.size();
     for (int i = 0; i < 20; ++i) EXPECT_EQ(t.round(50 * ms), 2U);
@@ -321,14 +321,14 @@
 }
 
 TEST(Drains, RetriesAndTwinsKeepToItToo) {
-  Script t(basic());
+  ModuleHarness t(basic());
   t.servers(2);
   const auto id = t.query();
   const auto first = t.attempts[id + ".0"][0];
   ServerEntry other;
   other.server = first == 1 ? 2 : 1;
   other.state = ServerState::draining;
-  t.list({other}, ListNews::Scope::changes);
+  t.list({other}, ServerListUpdate::Scope::changes);
   const auto before = t.sends.size();
   t.end(id + ".0", 0, Outcome::rejected);
   for (std::size_t i = before; i < t.sends.size(); ++i) EXPECT_NE(t.sends[i].server, other.server);
@@ -337,15 +337,15 @@
 TEST(Drains, ListIsAskedForAtOnceAndAgainAfterAFailure) {
   auto s = basic();
   s.listOnRequest = true;
-  s.askWithin = 10 * sec;
-  Script t(s);
+  s.listRequestInterval = 10 * sec;
+  ModuleHarness t(s);
   const auto subscribes = [](const std::vector<Action>& actions) {
     return std::count_if(actions.begin(), actions.end(),
                          [](const Action& a) { return std::holds_alternative<Subscribe>(a); });
   };
-  EXPECT_EQ(subscribes(t.turn({ListNews{ListNews::Scope::initial, {ServerEntry{}}}})), 1);
+  EXPECT_EQ(subscribes(t.turn({ServerListUpdate{ServerListUpdate::Scope::initial, {ServerEntry{}}}})), 1);
   for (int failure = 0; failure < 6; ++failure) {
-    t.turn({ListNews{ListNews::Scope::failed, {}}});
+    t.turn({ServerListUpdate{ServerListUpdate::Scope::failed, {}}});
     const Nanos start = t.now;
     long requests = 0;
     while (requests == 0 && t.now < start + 10 * sec) {
@@ -362,11 +362,11 @@
 TEST(Cold, FreshServerGetsNoMoreThanAFairShareInAnyWindow) {
   auto s = basic();
   s.aggregators = 3;
-  s.coldFrom = 0.15;
-  s.coldFor = 16 * sec;
-  s.tipMultiple = 2.5;
-  s.tipWindow = 1 * sec;
-  Script t(s);
+  s.coldCapacityShare = 0.15;
+  s.warmUpTime = 16 * sec;
+  s.overloadMultiple = 2.5;
+  s.overloadWindow = 1 * sec;
+  ModuleHarness t(s);
   ServerEntry fresh;
   fresh.server = 1;
   fresh.startedAt = t.now;
@@ -399,11 +399,11 @@
 
 TEST(Cold, CeilingForgetsAChanceQuickDelayAmongTheFirst) {
   auto s = withoutHedging();
-  s.coldFrom = 0.5;
-  s.coldFor = 1000 * sec;  // equally cold throughout the test
-  s.tipMultiple = 2;
-  s.tipWindow = 1 * sec;
-  Script t(s);
+  s.coldCapacityShare = 0.5;
+  s.warmUpTime = 1000 * sec;  // equally cold throughout the test
+  s.overloadMultiple = 2;
+  s.overloadWindow = 1 * sec;
+  ModuleHarness t(s);
   t.servers(1);
   for (int i = 0; i < 200; ++i) t.round((i == 5 ? 5 : 50) * ms);
   const ServerEntry fresh{.server = 2, .startedAt = t.now};
@@ -419,12 +419,12 @@
 TEST(Cold, BurstInOneTurnAgainstAColdServerIsLimited) {
   auto s = basic();
   s.shards = 8;
-  s.coldFrom = 0.2;
-  s.coldFor = 10 * sec;
-  s.tipMultiple = 3;
-  s.tipWindow = 1 * sec;
+  s.coldCapacityShare = 0.2;
+  s.warmUpTime = 10 * sec;
+  s.overloadMultiple = 3;
+  s.overloadWindow = 1 * sec;
   s.aggregators = 3;
-  Script t(s);
+  ModuleHarness t(s);
   ServerEntry fresh;
   fresh.server = 1;
   fresh.startedAt = t.now;
@@ -438,9 +438,9 @@
   // as the usual delay divided by its share of capacity, too long to pass admission control, so it was never
   // used.
   auto s = withoutHedging();
-  s.coldFrom = 0.15;
-  s.coldFor = 16 * sec;
-  Script t(s);
+  s.coldCapacityShare = 0.15;
+  s.warmUpTime = 16 * sec;
+  ModuleHarness t(s);
   t.servers(1);
   for (int i = 0; i < 20; ++i) t.round(60 * ms);
   ServerEntry fresh;
@@ -453,11 +453,11 @@
 
 TEST(Cold, ReplicaCalledBackAmongQuickOnesIsTriedSoon) {
   auto s = basic();
-  s.coldFrom = 0.2;
-  s.coldFor = 17 * sec;
-  s.tipMultiple = 4;
-  s.tipWindow = 2 * sec;
-  Script t(s);
+  s.coldCapacityShare = 0.2;
+  s.warmUpTime = 17 * sec;
+  s.overloadMultiple = 4;
+  s.overloadWindow = 2 * sec;
+  ModuleHarness t(s);
   t.servers(3);
   for (int i = 0; i < 200; ++i) {
     t.round(ms);
@@ -468,7 +468,7 @@
     t.now += 4 * ms;
   };
   for (int i = 0; i < 100; ++i) queryUnderLoad(i);  // rising delays, as of a queue, suspend random hedging
-  t.list({{.server = 2, .startedAt = t.now}}, ListNews::Scope::changes);
+  t.list({{.server = 2, .startedAt = t.now}}, ServerListUpdate::Scope::changes);
   const Nanos restartedAt = t.now;
   const auto tried = [&] {
     return std::any_of(t.sends.begin(), t.sends.end(), [&](const Send& send) {
@@ -484,7 +484,7 @@
 TEST(Honest, WholeOnlyWhenTheNeedIsMet) {
   auto s = basic();
   s.shards = 4;
-  Script t(s);
+  ModuleHarness t(s);
   t.servers(2);
   const auto id = t.query(4);
   for (int i = 0; i < 3; ++i) t.end(id + "." + std::to_string(i), 0);
@@ -499,8 +499,8 @@
   s.shards = 6;
   s.classes[0].need = 0.67;
   s.classes[0].floor = 0.67;
-  s.secondCopies = false;
-  Script t(s);
+  s.hedging = false;
+  ModuleHarness t(s);
   t.servers(3);
   const auto id = t.query(6);
   EXPECT_EQ(t.sends.size(), 5U);  // 4 of 6 parts are 0.667 of the query, below the needed 0.67
@@ -517,7 +517,7 @@
     s.shards = 4;
     s.classes[0].floor = 0.5;
     s.classes[0].partialWorth = 0.9;
-    Script t(s);
+    ModuleHarness t(s);
     t.servers(2);
     const auto id = t.query(4);
     for (int i = 0; i < arrived; ++i) t.end(id + "." + std::to_string(i), 0);
@@ -535,7 +535,7 @@
 TEST(Honest, DuplicateDeliveriesCountOnce) {
   auto s = basic();
   s.shards = 2;
-  Script t(s);
+  ModuleHarness t(s);
   t.servers(2);
   const auto id = t.query(2);
   t.end(id + ".0", 0);
@@ -547,7 +547,7 @@
   auto s = basic();
   s.shards = 2;
   s.classes[0].secondStepParts = 1;
-  Script t(s);
+  ModuleHarness t(s);
   t.servers(2);
   const auto id = t.query(2);
   t.end(id + ".0", 0);
@@ -566,8 +566,8 @@
 
 TEST(Budget, FurtherAttemptsStayWithinTheWindow) {
   auto s = basic();
-  s.budget = AttemptBudget{2 * sec, 2, 0.1};
-  Script t(s);
+  s.budget = RetryBudget{2 * sec, 2, 0.1};
+  ModuleHarness t(s);
   t.servers(3);
   std::vector<Nanos> earning;  // times of arrivals, which earn budget: one of the query and one of its part
   std::vector<Nanos> extra;    // times of further attempts, which use it
@@ -594,7 +594,7 @@
 // ---- failures, outlier ejection and admission control ----
 
 TEST(Health, FailingFastDoesNotLookFastest) {
-  Script t(withoutHedging());
+  ModuleHarness t(withoutHedging());
   t.servers(2);
   t.measureDelays({100 * ms, 110 * ms});
   int toFailing = 0;
@@ -612,7 +612,7 @@
 }
 
 TEST(Health, ConnectFailureGoesToAnotherReplicaAtOnce) {
-  Script t(basic());
+  ModuleHarness t(basic());
   t.servers(2);
   const auto part = t.query() + ".0";
   t.now += 5 * ms;
@@ -622,7 +622,7 @@
 }
 
 TEST(Health, OneBrokenConnectionIsChance) {
-  Script t(basic());
+  ModuleHarness t(basic());
   t.servers(2);
   for (int i = 0; i < 20; ++i) t.round(20 * ms);
   const auto fail = [&](Outcome outcome) {
@@ -639,7 +639,7 @@
   };
   EXPECT_FALSE(logged(fail(Outcome::reset)));
   EXPECT_FALSE(logged(fail(Outcome::error)));
-  Script twice(basic());
+  ModuleHarness twice(basic());
   twice.servers(1);
   for (int i = 0; i < 20; ++i) twice.round(20 * ms);
   for (int i = 0; i < 2; ++i) {
@@ -654,7 +654,7 @@
 }
 
 TEST(Health, LastHolderIsClosedForAMomentOnly) {
-  Script t(basic());
+  ModuleHarness t(basic());
   t.servers(1);
   for (int i = 0; i < 20; ++i) t.round(20 * ms);
   for (int i = 0; i < 4; ++i) {  // each ejection is longer than the one before
@@ -671,8 +671,8 @@
 
 TEST(Health, GoneServersAreForgotten) {
   auto s = basic();
-  s.secondCopies = false;
-  Script t(s);
+  s.hedging = false;
+  ModuleHarness t(s);
   t.servers(2);
   const auto part = t.query() + ".0";
   const auto old = t.attempts[part].at(0);
@@ -680,14 +680,14 @@
   for (ServerId id = 1; id <= 2; ++id) {
     e.server = id;
     e.state = ServerState::gone;
-    t.list({e}, ListNews::Scope::changes);
+    t.list({e}, ServerListUpdate::Scope::changes);
   }
   const auto before = ::mallinfo2().uordblks;
   // An attempt is still outstanding at a removed server; its outcome must be handled.
   for (ServerId id = 3; id <= 20'000; ++id) {
     e.server = id;
     e.state = id == 20'000 ? ServerState::up : ServerState::gone;
-    t.list({e}, ListNews::Scope::changes);
+    t.list({e}, ServerListUpdate::Scope::changes);
   }
   EXPECT_LT(::mallinfo2().uordblks, before + 500'000);
   t.turn({AttemptEnded{part, 0, old, Outcome::reset, 5 * ms}});
@@ -696,7 +696,7 @@
 }
 
 TEST(Health, AllSlowAtOnceMakesNoStorm) {
-  Script t(basic());
+  ModuleHarness t(basic());
   t.servers(3);
   for (int i = 0; i < 100; ++i) t.round(40 * ms);
   const auto before = t.extraAttempts();
@@ -706,7 +706,7 @@
 }
 
 TEST(Health, OneSilentServerIsFoundAndLeft) {
-  Script t(basic());
+  ModuleHarness t(basic());
   t.servers(3);
   for (int i = 0; i < 60; ++i) t.round(40 * ms);
   std::map<std::string, Nanos> answerAt;
@@ -728,7 +728,7 @@
 }
 
 TEST(Health, SilentServerIsBenched) {
-  Script t(withoutHedging());
+  ModuleHarness t(withoutHedging());
   t.servers(3);
   for (int i = 0; i < 60; ++i) t.round(40 * ms);
   t.query();
@@ -750,7 +750,7 @@
 TEST(Health, TheDoorOpensAgainWhenOldEvidenceHasDrained) {
   // Guards against permanent load shedding: after a stall of the aggregator itself all delays looked long,
   // every query was rejected, and so no new delay was ever measured.
-  Script t(withoutHedging());
+  ModuleHarness t(withoutHedging());
   t.servers(2);
   for (int i = 0; i < 30; ++i) t.round(50 * ms);
   for (int i = 0; i < 80; ++i) {
@@ -768,7 +768,7 @@
 TEST(Health, ManyFailuresDoNotShutTheDoorOnSoundReplicas) {
   // Guards against failures that double the remembered delay without bound: through the mean of the shard
   // admission control then rejected everything.
-  Script t(withoutHedging());
+  ModuleHarness t(withoutHedging());
   t.servers(2);
   t.measureDelays({60 * ms, 61 * ms});
   for (int i = 0; i < 10; ++i) t.round(60 * ms);  // establishes the usual delay
@@ -788,7 +788,7 @@
   auto s = basic();
   s.classes[0].effect = Effect::keyed;  // keyed parts are not hedged
   s.classes[0].keyedWindow = 5 * sec;
-  Script t(s);
+  ModuleHarness t(s);
   t.servers(2);
   for (int i = 0; i < 80; ++i) t.round(40 * ms);
   const auto stuck = t.query() + ".0";
@@ -812,7 +812,7 @@
     s.classes[0].aim = aim;
     s.classes[0].floor = 0.5;
     s.classes[0].partialWorth = 0.8;
-    Script t(s);
+    ModuleHarness t(s);
     t.servers(2);
     const Nanos arrived = t.now;
     std::vector<Nanos> timers;
--- a/tests/server_test.cpp
+++ b/tests/server_test.cpp
@@ -9,7 +9,7 @@
 #include <utility>
 
 #include "check.hpp"
-#include "lab/stand_in.hpp"
+#include "lab/fake_server.hpp"
 #include "net/connection.hpp"
 
 namespace topazweir::test {
@@ -22,12 +22,12 @@
 
 struct EchoHandler : http::Server::Handler {
   http::Server* server = nullptr;
-  void onRequest(http::Server::ExchangeNo exchange, const http::Head& head, std::string_view) override {
+  void onRequest(http::Server::ExchangeId exchange, const http::Head& head, std::string_view) override {
     const std::string target(head.target);
     server->respond(exchange,
                     {200, "text/plain", target == "/big" ? std::string(kLargeBodyBytes, 'x') : target, {}});
   }
-  void onGone(http::Server::ExchangeNo) override {}
+  void onGone(http::Server::ExchangeId) override {}
 };
 
 struct ServerFixture {
--- a/tests/standing_terms_test.cpp
+++ b/tests/standing_terms_test.cpp
@@ -25,12 +25,12 @@
 
 #include "check.hpp"
 #include "config/config.hpp"
-#include "lab/stand_in.hpp"
+#include "lab/fake_server.hpp"
 #include "operation/operation.hpp"
-#include "platform/retry_pace.hpp"
-#include "platform/side.hpp"
+#include "platform/discovery_retry_policy.hpp"
+#include "platform/platform_service.hpp"
+#include "processes/event_loop_test.hpp"
 #include "processes/process.hpp"
-#include "processes/steps.hpp"
 
 namespace topazweir::test {
 
@@ -65,7 +65,7 @@
       case Reaction::nobody:
         return fail(startedAt + kMs, false);
       case Reaction::vanished:
-        return fail(startedAt + platform::RetryPace::kConnectTimeoutNs, false);
+        return fail(startedAt + platform::DiscoveryRetryPolicy::kConnectTimeoutNs, false);
       case Reaction::reset:
         return fail(startedAt + kAnswerNs, false);
       case Reaction::refusal:
@@ -169,7 +169,7 @@
         Nanos last = silent.now;
         for (; last < start + 13 * kSec; last += kHeartbeatNs) silent.pace.recordData(last);
         last -= kHeartbeatNs;
-        const Nanos timedOutAt = last + platform::RetryPace::kWatchIdleTimeoutNs;
+        const Nanos timedOutAt = last + platform::DiscoveryRetryPolicy::kWatchIdleTimeoutNs;
         silent.now = timedOutAt + silent.pace.nextWait(timedOutAt);
         const Reaction first = fault ? kFailures[seed % kFailures.size()] : Reaction::list;
         bool requested = false;
@@ -192,7 +192,7 @@
             static_cast<Nanos>(random() % static_cast<std::uint64_t>(kept.pace.answerTimeout(kept.now)));
         kept.pace.recordData(dataAt);
         kept.pace.recordSuccess();
-        const Nanos timedOutAt = dataAt + platform::RetryPace::kWatchIdleTimeoutNs;
+        const Nanos timedOutAt = dataAt + platform::DiscoveryRetryPolicy::kWatchIdleTimeoutNs;
         kept.now = timedOutAt + kept.pace.nextWait(timedOutAt);
         const Reaction first = fault ? kFailures[seed % kFailures.size()] : Reaction::list;
         bool requested = false;
@@ -259,10 +259,11 @@
   for (const auto& [what, by] : quick) CHECK(by <= 0);
   int late = 0;
   for (const bool pushed : {false, true})
-    late += countLate(
-        worstLateness(pushed, [](int fleet, bool agent,
-                                 std::uint64_t seed) { return platform::RetryPace(fleet, agent, seed); }),
-        pushed ? "pushed" : "on request");
+    late += countLate(worstLateness(pushed,
+                                    [](int fleet, bool agent, std::uint64_t seed) {
+                                      return platform::DiscoveryRetryPolicy(fleet, agent, seed);
+                                    }),
+                      pushed ? "pushed" : "on request");
   return late;
 }
 
@@ -289,7 +290,7 @@
   QueueingService discovery;
   std::mt19937_64 random(seed);
   std::multimap<Nanos, std::size_t> next;
-  std::vector<platform::RetryPace> paces;
+  std::vector<platform::DiscoveryRetryPolicy> paces;
   std::vector<Nanos> started, listed(static_cast<std::size_t>(fleet), 0);
   for (int i = 0; i < fleet; ++i) {
     started.push_back(1000 * kSec + static_cast<Nanos>(random() % static_cast<std::uint64_t>(kSec)));
@@ -308,9 +309,10 @@
       next.emplace(doneAt + paces[who].nextWait(doneAt, doneAt == at), who);
     }
   }
-  int inTime = 0;
-  for (std::size_t i = 0; i < started.size(); ++i) inTime += ready(started[i], listed[i]) <= 10 * kSec;
-  return inTime;
+  int answeredInTime = 0;
+  for (std::size_t i = 0; i < started.size(); ++i)
+    answeredInTime += ready(started[i], listed[i]) <= 10 * kSec;
+  return answeredInTime;
 }
 
 Nanos readyAfter(Nanos started, Nanos listed) {
@@ -361,10 +363,10 @@
 // ---- 2: nothing is started for clients that have left ----
 
 // A leaf that counts the parts that reach it, and rejects them or does not answer.
-struct CountingLeaf : NodeSpeaker {
+struct CountingLeaf : FakeNode {
   int parts = 0;
   std::optional<std::string> reply(std::string& input, Fault fault) override {
-    auto out = NodeSpeaker::reply(input, fault);
+    auto out = FakeNode::reply(input, fault);
     if (out) ++parts;
     return out;
   }
@@ -375,8 +377,8 @@
 struct LeaveFixture : Stage {
   broker::Log log{[](auto, auto) {}, [] { return Nanos{0}; }};
   CountingLeaf speaker;
-  StandIn first, second;
-  platform::Side service;
+  FakeServer first, second;
+  platform::PlatformService service;
   std::vector<Poco::Net::StreamSocket> clients;
   explicit LeaveFixture(Fault fault)
       : first(loop, speaker, fault),
@@ -501,7 +503,7 @@
   void rejectAll() {
     for (auto& one : accepted)
       for (const auto& part : one.parts) {
-        const auto text = NodeSpeaker::answer(part, "full");
+        const auto text = FakeNode::answer(part, "full");
         one.socket.sendBytes(text.data(), static_cast<int>(text.size()));
       }
   }
@@ -513,7 +515,7 @@
   Stage stage;
   ManualLeaf first, second;
   broker::Log log{[](auto, auto) {}, [] { return Nanos{0}; }};
-  platform::Side service(
+  platform::PlatformService service(
       stage.loop, log,
       config::read(configuration(
           freeAddress(), freeAddress(),
@@ -613,10 +615,11 @@
   for (int i = 0; i < 8; ++i) fillers.emplace_back().connectNB(listener.address());
   Stage stage;
   broker::Log log{[](auto, auto) {}, [] { return Nanos{0}; }};
-  platform::Side service(stage.loop, log,
-                         config::read(configuration(freeAddress(), freeAddress(),
-                                                    list(1, {listener.address().toString()}), "64")),
-                         [] { return std::string(); });
+  platform::PlatformService service(
+      stage.loop, log,
+      config::read(
+          configuration(freeAddress(), freeAddress(), list(1, {listener.address().toString()}), "64")),
+      [] { return std::string(); });
   std::size_t bytes = 0;
   stage.play([&] {
     std::vector<Poco::Net::StreamSocket> clients;
@@ -743,12 +746,12 @@
 // served.
 bool outlivesIdleClients(const char* program, Down down) {
   Stage stage;
-  NodeSpeaker nodes;
-  StandIn leaf(stage.loop, nodes, Fault::none);
-  StandIn laterLeaf(stage.loop, nodes, Fault::none);
+  FakeNode nodes;
+  FakeServer leaf(stage.loop, nodes, Fault::none);
+  FakeServer laterLeaf(stage.loop, nodes, Fault::none);
   FakeAgent agent;
   agent.list = list(1, {leaf.address()});
-  const auto folder = scratchFolder("idle-" + std::to_string(static_cast<int>(down)));
+  const auto folder = temporaryFolder("idle-" + std::to_string(static_cast<int>(down)));
   const auto listen = freeAddress();
   const bool withoutLimit = down == Down::withoutLimit;
   std::ofstream(folder + "/config.json")
@@ -839,11 +842,11 @@
 
 int realOnesAreReady(const char* program) {
   Stage stage;
-  AgentSpeaker speaker;
-  StandIn unresponsive(stage.loop, speaker, Fault::silent);
-  StandIn healthy(stage.loop, speaker, Fault::none);
+  FakeDiscoveryAgent speaker;
+  FakeServer unresponsive(stage.loop, speaker, Fault::silent);
+  FakeServer healthy(stage.loop, speaker, Fault::none);
   speaker.list = list(1, {});
-  const auto folder = scratchFolder("ready");
+  const auto folder = temporaryFolder("ready");
   std::vector<std::string> addresses;
   std::vector<std::unique_ptr<Process>> processes;
   for (int i = 0; i < 6; ++i) {
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -11,7 +11,7 @@
 
 // Two upgrades in a row under load. Every request gets a whole answer. A leaf taken out of service at the
 // first process gets no parts from the last one until it is put back; then it is used again.
-void upgradesLoseNoRequests(AggregatorWorld& world) {
+void upgradesLoseNoRequests(AggregatorProcesses& world) {
   world.start();
   world.untilReady(0);
   world.load(4 * kMs);
@@ -49,7 +49,7 @@
 // The new process is killed before it is ready, the state folder holds corrupted records, and the old process
 // is killed after a later one is ready. Commands given to any of them stay in force, and the aggregator keeps
 // serving.
-void killsDuringUpgrade(AggregatorWorld& world) {
+void killsDuringUpgrade(AggregatorProcesses& world) {
   world.start();
   world.untilReady(0);
   CHECK(world.says(0, "disable-server s-0", "ACK"));
@@ -77,7 +77,7 @@
 
 // A drain closes the clients' idle connections after a while, and a process started during the drain is
 // drained too. After resume both accept clients again without a restart.
-void drainExtendsToNewProcess(AggregatorWorld& world) {
+void drainExtendsToNewProcess(AggregatorProcesses& world) {
   world.start();
   world.untilReady(0);
   Poco::Net::StreamSocket idle;
@@ -102,7 +102,7 @@
 
 // 300 connections to the operator port that send nothing, half a line, or a line without end do not keep a
 // command from being answered.
-void misbehavingOperatorsDoNotBlockCommands(AggregatorWorld& world) {
+void misbehavingOperatorsDoNotBlockCommands(AggregatorProcesses& world) {
   world.start();
   world.untilReady(0);
   std::vector<Poco::Net::StreamSocket> callers(300);
@@ -121,7 +121,7 @@
 // The maximum of client connections during an upgrade: both processes together get within the descriptor
 // limit and stay there, and operator commands are answered. When the last leaf is taken out, the log names
 // the shard.
-void descriptorLimitHoldsForBothProcesses(AggregatorWorld& world) {
+void descriptorLimitHoldsForBothProcesses(AggregatorProcesses& world) {
   world.start();
   world.untilReady(0);
   std::vector<Poco::Net::StreamSocket> idle(400);
@@ -142,7 +142,7 @@
 
 // A NODE_SOCKET_FD that is no listening socket is a usage error that names the key.
 void invalidSocketDescriptorIsReported(const char* path) {
-  const std::string folder = scratchFolder("descriptor");
+  const std::string folder = temporaryFolder("descriptor");
   const std::string config = folder + "/config.json";
   std::ofstream(config) << R"({"listen":"127.0.0.1:1","discovery":"127.0.0.1:1","settings":{"familyInfo":)"
                         << R"({"slabs":1},"profiles":[{"name":"s","aimNs":1,"deadlineNs":2}]}})";
@@ -158,8 +158,8 @@
   }
 }
 
-void play(const char* path, const char* name, int leafs, void (*body)(AggregatorWorld&)) {
-  AggregatorWorld world(path, name, leafs);
+void play(const char* path, const char* name, int leafs, void (*body)(AggregatorProcesses&)) {
+  AggregatorProcesses world(path, name, leafs);
   world.play([&] { body(world); });
 }
 
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -140,7 +140,7 @@
   EXPECT_DOUBLE_EQ(settings.classes[1].floor, 0.5);
   ASSERT_TRUE(settings.budget);
   EXPECT_EQ(settings.budget->window, 6);
-  EXPECT_DOUBLE_EQ(settings.budget->perTaken, 0.25);
+  EXPECT_DOUBLE_EQ(settings.budget->attemptsPerAccepted, 0.25);
 }
 
 }  // namespace
