--- a/src/fleet/fleet_service.hpp
+++ b/src/fleet/fleet_service.hpp
@@ -38,7 +38,7 @@
   std::uint64_t received = 0;
   std::uint64_t sentBytes = 0;
   std::uint64_t receivedBytes = 0;
-  // Messages that could not be decoded, by reason (see Unread).
+  // Messages that could not be decoded, by reason (see DecodeError).
   std::uint64_t broken = 0;
   std::uint64_t foreign = 0;
   std::uint64_t otherVersion = 0;
--- a/src/http2/session.hpp
+++ b/src/http2/session.hpp
@@ -92,7 +92,7 @@
   void respond(StreamId stream, const Fields& head);
   // Server: a response of header fields alone (gRPC: Trailers-Only).
   void respondHeadersOnly(StreamId stream, const Fields& head);
-  // There is output again for a stream whose last onReadBody returned Pulled::Then::wait.
+  // There is output again for a stream whose last onReadBody returned BodyRead::Then::wait.
   void resume(StreamId stream);
   // Sends RST_STREAM.
   void reset(StreamId stream, std::uint32_t code);
--- a/src/platform/platform_service.hpp
+++ b/src/platform/platform_service.hpp
@@ -71,7 +71,7 @@
   void publish(ServerListUpdate update);
   void updateShardsWithoutHolder();
 
-  // Passes attempts on to the pool, and reports each one to the hook `Operated::sent`.
+  // Passes attempts on to the pool, and reports each one to the hook `OperationHooks::sent`.
   class ReportingBackend : public broker::Backend {
    public:
     explicit ReportingBackend(PlatformService& side) : side_(side) {}
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -4,7 +4,7 @@
 // The mechanism is OPEN (optimal endorsement). Each part goes to the replica of its shard with the lowest
 // last delay. A replica with a part still pending is passed over and gets a guessed delay. Within a small
 // budget an idempotent part is hedged at once with a request to another replica chosen at random; the first
-// answer wins. docs/design.md lists the additions to this mechanism and when each of them acts.
+// answer wins. docs/design/ describes the additions to this mechanism.
 #include <algorithm>
 #include <array>
 #include <cmath>
